--- a/tests/cover/test_delegate_failures.py
+++ b/tests/cover/test_delegate_failures.py
@@ -1,4 +1,4 @@
-"""Delegates that fail, in failure domains of 8, 40 and 100 entry VMs."""
+"""Failing delegates in failure domains of 8, 40 and 100 entry VMs."""
 
 import random
 import typing
@@ -16,16 +16,16 @@
 
 TOPIC = "keys"
 SIZES = (8, 40, 100)
-SETTLED_S = 3.0
-# Within this time of a failure whoever relied on it reads for itself, or has
-# another delegate.
-DETECTED_S = 1.2
-WAY_S = 0.0005
+SETTLE_S = 3.0
+# Within this time after the failure of a delegate, its clients read the store
+# themselves or have another delegate.
+DETECTION_S = 1.2
+DELAY_S = 0.0005
 
 
 @attrs.define
-class Topic:
-    """A topic in which nothing changes, always just read."""
+class FakeTopic:
+    """A topic that never changes and was always just read."""
 
     def get_attestation(self):
         now_ms = trio.current_time() * 1000
@@ -41,18 +41,18 @@
         return False
 
     def confirm(self, attested):
-        """Nothing is done with it."""
+        """Ignore the attestation."""
 
     def notify_position(self, position, served):
-        raise AssertionError("nothing changes")
+        raise AssertionError("the topic never changes")
 
 
 @attrs.define
 class Network:
-    """Datagrams of a failure domain; ``lost`` is the share that is lost."""
+    """Delivers datagrams in a failure domain; ``lost`` is the lost share."""
 
     nursery: trio.Nursery
-    draw: random.Random
+    rng: random.Random
     lost: float = 0.0
     failed: set[str] = attrs.field(factory=set)
     nodes: dict[str, "Node"] = attrs.field(factory=dict)
@@ -60,14 +60,11 @@
 
     def send(self, sender: str, name: str, data: bytes) -> None:
         self.datagrams += 1
-        if (
-            not self.failed & {sender, name}
-            and self.draw.random() >= self.lost
-        ):
+        if not self.failed & {sender, name} and self.rng.random() >= self.lost:
             self.nursery.start_soon(self._deliver, sender, name, data)
 
     async def _deliver(self, sender: str, name: str, data: bytes) -> None:
-        await trio.sleep(WAY_S)
+        await trio.sleep(DELAY_S)
         if name not in self.failed:
             fields = load_report_messages.decode(data)
             self.nodes[name].handlers[fields[0]](sender, fields)
@@ -75,7 +72,7 @@
 
 @attrs.define(eq=False)
 class Node:
-    """The load reporter of one entry VM, and its controller."""
+    """One entry VM: stands in for its load reporter, and has a controller."""
 
     name: str
     network: Network
@@ -99,7 +96,7 @@
 
 
 async def start_domain(network: Network, size: int) -> None:
-    """Start a failure domain's entry VMs within half a second."""
+    """Start a failure domain's entry VMs within 0.5 s; wait to settle."""
     for number in range(size):
         node = Node(f"vm-{number}", network)
         board = board_module.ForwardingBoard(
@@ -108,12 +105,12 @@
         node.controller = freshness.FreshnessController(
             board, clocks.TrioClock(), typing.cast(typing.Any, node)
         )
-        node.controller.add_topic(TOPIC, Topic())
+        node.controller.add_topic(TOPIC, FakeTopic())
         network.nodes[node.name] = node
     for node in network.nodes.values():
         await node.controller.start(network.nursery)
         await trio.sleep(0.5 / size)
-    await trio.sleep(SETTLED_S)
+    await trio.sleep(SETTLE_S)
 
 
 def list_clients(network: Network) -> list[Node]:
@@ -124,7 +121,7 @@
     ]
 
 
-def play(scenario, size: int, lost: float = 0.0) -> None:
+def run_scenario(scenario, size: int, lost: float = 0.0) -> None:
     """Run a scenario on a failure domain that has settled."""
 
     async def main():
@@ -137,8 +134,8 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_domain_settles_on_one_delegate_for_sixteen():
-    """Delegates change for ever, and all entry VMs read the store."""
+def test_domain_settles_on_one_delegate_per_sixteen_vms():
+    """Guards against unstable delegates, with all VMs reading the store."""
     for size in SIZES:
 
         async def scenario(network, size=size):
@@ -146,83 +143,100 @@
                 node.controller.choice.delegate
                 for node in network.nodes.values()
             }
-            most = -(-size // delegates.MAX_CLIENTS_PER_DELEGATE)
-            assert len(chosen) == most
+            max_delegates = -(-size // delegates.MAX_CLIENTS_PER_DELEGATE)
+            assert len(chosen) == max_delegates
             assert all(
                 node.controller.has_delegate(TOPIC)
                 for node in list_clients(network)
             )
 
-        play(scenario, size)
+        run_scenario(scenario, size)
 
 
-def test_death_of_a_delegate_is_noticed_as_soon_in_large_domains():
-    """Clients trust a delegate that died for longer, the more peers it had."""
+def test_failed_delegate_is_noticed_as_soon_in_large_domains():
+    """Guards against slower detection of a failure, the larger the domain."""
     for size in SIZES:
 
         async def scenario(network):
             clients = list_clients(network)
-            dead = clients[0].controller.choice.delegate
-            network.failed.add(dead)
-            await trio.sleep(DETECTED_S)
+            failed_delegate = clients[0].controller.choice.delegate
+            network.failed.add(failed_delegate)
+            await trio.sleep(DETECTION_S)
             for node in clients:
                 served = node.controller.has_delegate(TOPIC)
-                assert not served or node.controller.choice.answering != dead
-            await trio.sleep(DETECTED_S)
+                assert (
+                    not served
+                    or node.controller.choice.answering != failed_delegate
+                )
+            await trio.sleep(DETECTION_S)
             for node in list_clients(network):
-                if node.name != dead:
+                if node.name != failed_delegate:
                     controller = node.controller
-                    assert controller.choice.delegate != dead
-                    # The next delegate need not have noticed that it is one.
+                    assert controller.choice.delegate != failed_delegate
+                    # The new delegate may not know its role yet.
                     assert (
                         controller.has_delegate(TOPIC)
                         or controller.list_clients()
                     )
 
-        play(scenario, size)
+        run_scenario(scenario, size)
 
 
-def test_delegate_that_comes_back_is_preferred_again_without_a_gap():
-    """A cut ends, and clients read the store while they change back."""
+def test_recovered_delegate_is_preferred_again_without_a_gap():
+    """Guards against store reads while clients return to a delegate.
+
+    The delegate was cut off for six seconds.
+    """
 
     async def scenario(network):
         clients = list_clients(network)
-        dead = clients[0].controller.choice.delegate
-        own = [n for n in clients if n.controller.choice.delegate == dead]
-        network.failed.add(dead)
+        failed_delegate = clients[0].controller.choice.delegate
+        its_clients = [
+            n
+            for n in clients
+            if n.controller.choice.delegate == failed_delegate
+        ]
+        network.failed.add(failed_delegate)
         await trio.sleep(6.0)
-        network.failed.discard(dead)
+        network.failed.discard(failed_delegate)
         for _ in range(60):
             await trio.sleep(0.05)
             assert all(
                 node.controller.has_delegate(TOPIC)
-                for node in own
+                for node in its_clients
                 if node.controller.choice.delegate != node.name
             )
-        assert all(n.controller.choice.delegate == dead for n in own)
+        assert all(
+            n.controller.choice.delegate == failed_delegate
+            for n in its_clients
+        )
 
-    play(scenario, 40)
+    run_scenario(scenario, 40)
 
 
-def test_lost_datagrams_pass_no_delegate_over_for_long():
-    """Links lose a fiftieth of the datagrams, and all read the store."""
+def test_lost_datagrams_rarely_leave_clients_without_a_delegate():
+    """Guards against store reads because links lose 2% of the datagrams."""
 
     async def scenario(network):
-        checks = without = 0
+        checks = without_delegate = 0
         for _ in range(120):
             await trio.sleep(0.5)
             clients = list_clients(network)
             checks += len(clients)
-            without += sum(
+            without_delegate += sum(
                 not node.controller.has_delegate(TOPIC) for node in clients
             )
-        assert without <= 0.01 * checks
+        assert without_delegate <= 0.01 * checks
+
+    run_scenario(scenario, 40, lost=0.02)
 
-    play(scenario, 40, lost=0.02)
 
+def test_datagrams_per_entry_vm_do_not_grow_with_its_domain():
+    """Guards against traffic that grows with the domain's size.
 
-def test_datagrams_of_an_entry_vm_do_not_grow_with_its_domain():
-    """Probes of all by all take what an entry VM may spend on control."""
+    If all entry VMs probed each other, this would use up the bandwidth that
+    each may spend on control.
+    """
     counts = []
     for size in SIZES:
 
@@ -231,5 +245,5 @@
             await trio.sleep(20.0)
             counts.append(network.datagrams / size)
 
-        play(scenario, size)
+        run_scenario(scenario, size)
     assert max(counts) <= 1.2 * min(counts)
--- a/tests/cover/test_forwarding_delegates.py
+++ b/tests/cover/test_forwarding_delegates.py
@@ -1,4 +1,4 @@
-"""What an entry VM knows while a neighbour reads the store for it."""
+"""How soon a client learns of changes while a delegate reads the store."""
 
 import random
 import types
@@ -24,33 +24,33 @@
 from tests.common import clocks
 
 NAMES = ("vm-a", "vm-b")
-READER = delegates.choose_delegate(NAMES[0], NAMES)
-(ASKER,) = set(NAMES) - {READER}
-# When the reader loses the store at the earliest; polls last up to 1.5 s.
-LOST_S = 6.0
+DELEGATE = delegates.choose_delegate(NAMES[0], NAMES)
+(CLIENT,) = set(NAMES) - {DELEGATE}
+# When the delegate loses the store at the earliest; polls last up to 1.5 s.
+OUTAGE_START_S = 6.0
 POLL_S = 1.5
 ANSWER_S = 0.01
-WAY_S = 0.004
+MAX_DELAY_S = 0.004
 
 
 @attrs.define
-class Topic:
-    """A topic with one record, and another at each of ``written_s``.
+class FakeTopic:
+    """A topic with one record, and another one from each of ``written_s`` on.
 
-    The last one is removed where ``removes_last``. From ``lost_s`` on calls
-    and polls are left without an answer.
+    With ``removes_last`` the last record is a removal. From
+    ``outage_start_s`` on calls and polls get no answer.
     """
 
     written_s: tuple[float, ...]
-    lost_s: float = float("inf")
+    outage_start_s: float = float("inf")
     removes_last: bool = False
 
     def _list(self):
         now_s = trio.current_time()
         count = 1 + sum(at_s <= now_s for at_s in self.written_s)
-        return [self._make(offset) for offset in range(count)]
+        return [self._make_record(offset) for offset in range(count)]
 
-    def _make(self, offset):
+    def _make_record(self, offset):
         last = offset == len(self.written_s)
         value = None if last and self.removes_last else b"x"
         return keyed_log.Record("desk", value, offset)
@@ -63,7 +63,7 @@
         until_s = trio.current_time() + wait_ms / 1000
         if start <= len(self.written_s):
             until_s = min(until_s, self.written_s[start - 1])
-        if until_s >= self.lost_s:
+        if until_s >= self.outage_start_s:
             await trio.sleep(wait_ms / 1000)
         await trio.sleep_until(max(until_s, trio.current_time()))
         await self._answer()
@@ -71,20 +71,20 @@
 
     async def _answer(self):
         await trio.sleep(ANSWER_S)
-        if trio.current_time() >= self.lost_s:
+        if trio.current_time() >= self.outage_start_s:
             await trio.sleep(store.CALL_TIMEOUT_MS / 1000)
             raise errors.PlatformUnavailable("store", "no answer")
 
 
 @attrs.define
-class Wire:
-    """Datagrams between the two entry VMs; each takes up to ``WAY_S``."""
+class FakeReporter:
+    """Delivers datagrams between the entry VMs within ``MAX_DELAY_S``."""
 
     name: str
-    others: dict[str, "Wire"]
+    others: dict[str, "FakeReporter"]
     nursery: trio.Nursery
     handlers: dict = attrs.field(factory=dict)
-    draw: random.Random = attrs.field(factory=lambda: random.Random(1))
+    rng: random.Random = attrs.field(factory=lambda: random.Random(1))
 
     @property
     def joined(self):
@@ -102,7 +102,7 @@
         self.nursery.start_soon(self._deliver, name, data)
 
     async def _deliver(self, name, data):
-        await trio.sleep(WAY_S * self.draw.random())
+        await trio.sleep(MAX_DELAY_S * self.rng.random())
         fields = load_report_messages.decode(data)
         self.others[name].handlers[fields[0]](self.name, fields)
 
@@ -129,20 +129,22 @@
     )
 
 
-def make_vm(name, wires, written_s, lost_s):
-    """The feeds and proofs of an entry VM, wired as the daemon does."""
+def make_vm(name, reporters, written_s, outage_start_s):
+    """The feeds and controller of an entry VM, assembled as in the daemon."""
     clock = clocks.TrioClock()
     board = board_module.ForwardingBoard(name=name, failure_domain="north")
-    wire: typing.Any = wires[name]
-    exchanged = freshness.FreshnessController(board, clock, wire)
+    reporter: typing.Any = reporters[name]
+    freshness_controller = freshness.FreshnessController(
+        board, clock, reporter
+    )
     ports: typing.Any = types.SimpleNamespace(
-        declarations=Topic(written_s, lost_s),
-        endpoints=Topic(written_s, lost_s, removes_last=True),
+        declarations=FakeTopic(written_s, outage_start_s),
+        endpoints=FakeTopic(written_s, outage_start_s, removes_last=True),
         statuses=None,
         decode_declaration=decode_declaration,
         decode_endpoint=decode_endpoint,
     )
-    own = settings.ForwardingSettings(
+    own_settings = settings.ForwardingSettings(
         name=name,
         failure_domain="north",
         listen=settings.Listen(callers="", readiness="", peers=""),
@@ -157,99 +159,123 @@
         begin_listing=None,
     )
     feeds = feeds_module.make_feeds(
-        own, board, clock, ports, exchanged, rounds, measures.Measures()
+        own_settings,
+        board,
+        clock,
+        ports,
+        freshness_controller,
+        rounds,
+        measures.Measures(),
     )
-    return board, [*feeds, exchanged]
+    return board, [*feeds, freshness_controller]
 
 
-async def find_delays(reader_lost_s, written_s):
-    """How long after the last change the client knows it, in s.
+async def measure_delays(delegate_outage_start_s, written_s):
+    """Measure how long after the last change the client applies it, in s.
 
-    It changes the routing table, and an endpoint leaves.
+    The change is a new routing table and the removal of an endpoint.
     """
     changed_s = written_s[-1]
-    wires: dict[str, Wire] = {}
+    reporters: dict[str, FakeReporter] = {}
     boards = {}
     delays: dict[str, float] = {}
     async with trio.open_nursery() as nursery:
         for name in NAMES:
-            wires[name] = Wire(name, wires, nursery)
+            reporters[name] = FakeReporter(name, reporters, nursery)
         for name in NAMES:
-            lost_s = reader_lost_s if name == READER else float("inf")
-            board, controllers = make_vm(name, wires, written_s, lost_s)
+            outage_start_s = (
+                delegate_outage_start_s if name == DELEGATE else float("inf")
+            )
+            board, controllers = make_vm(
+                name, reporters, written_s, outage_start_s
+            )
             boards[name] = board
             for each in controllers:
                 await each.start(nursery)
-        board = boards[ASKER]
+        board = boards[CLIENT]
         while len(delays) < 2 and trio.current_time() < changed_s + 6.0:
             await trio.sleep(0.01)
-            late_s = trio.current_time() - changed_s
-            if late_s < 0.0:
+            delay_s = trio.current_time() - changed_s
+            if delay_s < 0.0:
                 continue
             if board.table.revision == len(written_s) + 1:
-                delays.setdefault("table", late_s)
+                delays.setdefault("table", delay_s)
             if not board.endpoints:
-                delays.setdefault("endpoint", late_s)
+                delays.setdefault("endpoint", delay_s)
         nursery.cancel_scope.cancel()
     return delays
 
 
-def test_change_is_known_in_time_though_the_reader_has_lost_the_store():
-    """An old configuration is in force 2.5 s after it was changed.
+def test_client_learns_of_change_when_its_delegate_has_lost_the_store():
+    """Guards against clients that apply a change 2.5 s late.
 
-    The store falls silent to the entry VM that reads for its neighbours. Its
-    poll has two and a half seconds until it counts as failed; until then it
-    goes on telling what it had proved before, and the neighbours, whom the
-    store would serve, wait for its word. The change was at 2.753 s; they had
-    it at 5.249 s, and requests at 5.041 s met the old one.
+    The store stops answering the delegate, whose poll fails only after 2.5 s.
+    Until then the delegate keeps sending attestations from before, and its
+    clients, which could read the store themselves, waited for it. A change at
+    2.753 s was applied at 5.249 s, and requests at 5.041 s were handled by the
+    old configuration.
     """
-    most_s = 0.9 * settings.Bounds().drain_ms / 1000
+    limit_s = 0.9 * settings.Bounds().drain_ms / 1000
     for phase in range(6):
-        lost_s = LOST_S + phase * POLL_S / 6
+        outage_start_s = OUTAGE_START_S + phase * POLL_S / 6
         for step in range(26):
-            changed_s = lost_s + 0.1 * step
+            changed_s = outage_start_s + 0.1 * step
             clock = trio.testing.MockClock(autojump_threshold=0)
-            delays = trio.run(find_delays, lost_s, (changed_s,), clock=clock)
-            assert set(delays) == {"table", "endpoint"}, (lost_s, changed_s)
-            assert max(delays.values()) < most_s, (lost_s, changed_s, delays)
-
-
-def test_change_is_known_in_time_though_the_reader_was_lost_after_others():
-    """Work goes on to an endpoint that left three seconds before.
-
-    The delegate had just read other changes when it lost the store.
+            delays = trio.run(
+                measure_delays, outage_start_s, (changed_s,), clock=clock
+            )
+            assert set(delays) == {"table", "endpoint"}, (
+                outage_start_s,
+                changed_s,
+            )
+            assert max(delays.values()) < limit_s, (
+                outage_start_s,
+                changed_s,
+                delays,
+            )
+
+
+def test_client_learns_of_change_when_delegate_was_lost_after_changes():
+    """Guards against requests to an endpoint that left 3 s before.
+
+    The delegate lost the store right after it had read other changes.
     """
-    most_s = 0.95 * settings.Bounds().drain_ms / 1000
+    limit_s = 0.95 * settings.Bounds().drain_ms / 1000
     for before_s in (0.01, 0.05, 0.15, 0.25, 0.6, 0.85):
-        others_s = (LOST_S - before_s - 0.05, LOST_S - before_s)
+        earlier_s = (
+            OUTAGE_START_S - before_s - 0.05,
+            OUTAGE_START_S - before_s,
+        )
         for step in range(16):
-            written_s = (*others_s, LOST_S + 0.1 * step)
+            written_s = (*earlier_s, OUTAGE_START_S + 0.1 * step)
             clock = trio.testing.MockClock(autojump_threshold=0)
-            delays = trio.run(find_delays, LOST_S, written_s, clock=clock)
+            delays = trio.run(
+                measure_delays, OUTAGE_START_S, written_s, clock=clock
+            )
             assert set(delays) == {"table", "endpoint"}, written_s
-            assert max(delays.values()) < most_s, (written_s, delays)
+            assert max(delays.values()) < limit_s, (written_s, delays)
 
 
-async def count_causes(quiet_s):
-    """The calls of the client by cause, while nothing changes."""
-    wires: dict[str, Wire] = {}
+async def collect_call_causes(duration_s):
+    """Return the causes of the client's store calls while nothing changes."""
+    reporters: dict[str, FakeReporter] = {}
     causes: list[feed.Cause] = []
     async with trio.open_nursery() as nursery:
         for name in NAMES:
-            wires[name] = Wire(name, wires, nursery)
+            reporters[name] = FakeReporter(name, reporters, nursery)
         for name in NAMES:
-            _, controllers = make_vm(name, wires, (1e9,), float("inf"))
-            if name == ASKER:
+            _, controllers = make_vm(name, reporters, (1e9,), float("inf"))
+            if name == CLIENT:
                 controllers[0].count_call = causes.append
             for each in controllers:
                 await each.start(nursery)
-        await trio.sleep(quiet_s)
+        await trio.sleep(duration_s)
         nursery.cancel_scope.cancel()
     return causes
 
 
-def test_client_calls_the_store_at_its_start_only():
-    """Each entry VM polls the store though its delegate does."""
+def test_client_calls_the_store_only_at_startup():
+    """Guards against clients that poll the store although a delegate does."""
     clock = trio.testing.MockClock(autojump_threshold=0)
-    causes = trio.run(count_causes, 30.0, clock=clock)
+    causes = trio.run(collect_call_causes, 30.0, clock=clock)
     assert causes == [feed.Cause.START]
--- a/tests/cover/test_forwarding_feed.py
+++ b/tests/cover/test_forwarding_feed.py
@@ -1,4 +1,4 @@
-"""A topic's reader during and after an outage of the store."""
+"""Feeds of topics during and after outages of the store."""
 
 import itertools
 import typing
@@ -20,35 +20,35 @@
 
 
 @attrs.define
-class Topic:
-    """A topic without news; a poll on it waits for as long as it may.
+class FakeTopic:
+    """An empty topic; polls on it wait for as long as they may.
 
-    While ``down`` calls fail; while ``silent`` they fail when their time is
-    up, and ``lost_s`` notes when they were sent. Times in ms, and in s where
-    the name says so, of the test's clock.
+    While ``down`` calls fail at once; while ``silent`` they time out, and
+    ``lost_calls_s`` records when they were sent, in s. ``waits`` are the
+    waits of the polls that succeeded, in ms.
     """
 
     down: bool = False
     silent: bool = False
     waits: list[float] = attrs.field(factory=list)
-    lost_s: list[float] = attrs.field(factory=list)
+    lost_calls_s: list[float] = attrs.field(factory=list)
 
     async def read_newest(self) -> keyed_log.Batch:
-        """Nothing is in it."""
-        await self._meet_trouble()
+        """Return no records."""
+        await self._fail_if_unavailable()
         return keyed_log.Batch([], 0)
 
-    async def _meet_trouble(self) -> None:
+    async def _fail_if_unavailable(self) -> None:
         if self.down:
             raise errors.PlatformUnavailable("store", "down")
         if self.silent:
-            self.lost_s.append(trio.current_time())
+            self.lost_calls_s.append(trio.current_time())
             await trio.sleep(store.CALL_TIMEOUT_MS / 1000)
             raise errors.PlatformUnavailable("store", "no answer")
 
     async def read(self, start: int, wait_ms: float) -> keyed_log.Batch:
-        """Nothing new comes."""
-        await self._meet_trouble()
+        """Return no records after the full wait."""
+        await self._fail_if_unavailable()
         self.waits.append(wait_ms)
         await trio.sleep(wait_ms / 1000)
         return keyed_log.Batch([], start)
@@ -58,7 +58,7 @@
     return store_outages.OutageTracker(clock)
 
 
-def make_feed(name, topic, outages, prove=lambda as_of_ms: None):
+def make_feed(name, topic, outages, mark_current=lambda as_of_ms: None):
     return feed.TopicFeed(
         name,
         topic,
@@ -66,25 +66,25 @@
         outages,
         lambda records: None,
         lambda record: None,
-        prove,
+        mark_current,
     )
 
 
 def test_first_poll_after_an_outage_does_not_wait():
-    """Requests are refused for 1.4 s after the store is back.
+    """Guards against requests refused for 1.4 s after the store recovers.
 
-    The entry VM reaches the store again and polls for news. Cause: keys are
-    proved by a poll's end, and without news it ends when its wait does.
+    A poll confirms the keys only when it ends, and without new records it
+    ends only after its full wait.
     """
-    proved = []
+    confirmed_s = []
 
     async def main():
-        topic: typing.Any = Topic()
+        topic: typing.Any = FakeTopic()
         reader = make_feed(
             "keys",
             topic,
             make_outages(clocks.TrioClock()),
-            lambda as_of_ms: proved.append(trio.current_time()),
+            lambda as_of_ms: confirmed_s.append(trio.current_time()),
         )
         async with trio.open_nursery() as nursery:
             await reader.start(nursery)
@@ -92,12 +92,13 @@
             topic.down = True
             await trio.sleep(5.1)
             topic.down = False
-            back_s = trio.current_time()
-            proved.clear()
+            recovered_s = trio.current_time()
+            confirmed_s.clear()
             await trio.sleep(2 * store_outages.RETRY_MS / 1000)
             assert (
-                proved
-                and proved[0] <= back_s + 1.1 * store_outages.RETRY_MS / 1000
+                confirmed_s
+                and confirmed_s[0]
+                <= recovered_s + 1.1 * store_outages.RETRY_MS / 1000
             )
             assert topic.waits[-1] == store_polls.POLL_MS
             nursery.cancel_scope.cancel()
@@ -106,24 +107,26 @@
 
 
 def test_feeds_take_turns_at_a_silent_store():
-    """Requests are refused for a second after the store is back.
+    """Guards against requests refused for 1 s after the store recovers.
 
-    All feeds lost their calls to a silent store at the same moment and waited
-    for answers that were not to come. Taking turns, one of them calls at
-    least every 0.7 s, and its answer has the others call at once.
+    All feeds had sent calls to a silent store at the same time and waited for
+    answers that never came. If they take turns, one of them calls at least
+    every 0.7 s, and its answer makes the others call at once.
     """
-    longest_s = 0.001 + (store.CALL_TIMEOUT_MS - store_outages.RETRY_MS) / 1000
+    longest_gap_s = (
+        0.001 + (store.CALL_TIMEOUT_MS - store_outages.RETRY_MS) / 1000
+    )
 
     async def main():
-        topic: typing.Any = Topic()
+        topic: typing.Any = FakeTopic()
         outages = make_outages(clocks.TrioClock())
-        proved: list[float] = []
+        confirmed_s: list[float] = []
         feeds = [
             make_feed(
                 name,
                 topic,
                 outages,
-                lambda as_of_ms: proved.append(trio.current_time()),
+                lambda as_of_ms: confirmed_s.append(trio.current_time()),
             )
             for name in ("declarations", "endpoints")
         ]
@@ -133,28 +136,30 @@
             await trio.sleep(4.0)
             topic.silent = True
             await trio.sleep(8.0)
-            began_s = topic.lost_s[2]
-            calls_s = [at_s for at_s in topic.lost_s if at_s >= began_s]
+            outage_start_s = topic.lost_calls_s[2]
+            calls_s = [
+                at_s for at_s in topic.lost_calls_s if at_s >= outage_start_s
+            ]
             gaps_s = [b - a for a, b in itertools.pairwise(calls_s)]
-            assert max(gaps_s) <= longest_s
+            assert max(gaps_s) <= longest_gap_s
             await trio.sleep(calls_s[-1] + 0.9 - trio.current_time())
             topic.silent = False
-            proved.clear()
-            back_s = trio.current_time()
-            await trio.sleep(longest_s)
-            assert len(proved) >= len(feeds)
-            assert max(proved[:2]) <= back_s + longest_s
+            confirmed_s.clear()
+            recovered_s = trio.current_time()
+            await trio.sleep(longest_gap_s)
+            assert len(confirmed_s) >= len(feeds)
+            assert max(confirmed_s[:2]) <= recovered_s + longest_gap_s
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 def test_call_lost_in_an_outage_does_not_prolong_it():
-    """Feeds that reach the store hold their calls back for its sake.
+    """Guards against a second outage recorded right after the first.
 
-    The store answers one feed again while the other still waits for the
-    answer to a call that was lost; when its time is up it fails, which looks
-    like a second outage right after the first.
+    The store answers one feed again while another still waits for the answer
+    to a call that was lost in the outage. When that call times out, feeds that
+    can reach the store would delay their calls.
     """
     clock: typing.Any = clock_module.ManualClock()
     outages = make_outages(clock)
@@ -174,15 +179,18 @@
     assert outages.in_outage
 
 
-def test_feed_that_is_behind_tells_nothing():
-    """A configuration is in force three seconds late on an entry VM."""
+def test_feed_that_is_behind_attests_nothing():
+    """Guards against a configuration applied 3 s late by a client.
+
+    A feed that knows of records it has not read must not attest its position.
+    """
     outages = make_outages(typing.cast(typing.Any, clock_module.ManualClock()))
-    topic: typing.Any = Topic()
+    topic: typing.Any = FakeTopic()
     reader = make_feed("declarations", topic, outages)
     reader.position = 5
-    known = attestation.Attestation(5, 100.0, 700.0)
-    reader.confirm(known)
-    assert reader.get_attestation() == known
+    attested = attestation.Attestation(5, 100.0, 700.0)
+    reader.confirm(attested)
+    assert reader.get_attestation() == attested
     reader.notify_position(6, served=True)
     assert reader.get_attestation() is None
     reader.position = 6
@@ -190,9 +198,9 @@
 
 
 def test_attestation_without_a_newer_call_leaves_the_due_time():
-    """A delegate that lost the store passes for one that reaches it."""
+    """Guards against a delegate not recognized as having lost the store."""
     outages = make_outages(typing.cast(typing.Any, clock_module.ManualClock()))
-    topic: typing.Any = Topic()
+    topic: typing.Any = FakeTopic()
     reader = make_feed("endpoints", topic, outages)
     reader.position = 5
     reader.confirm(attestation.Attestation(5, 100.0, 700.0))
@@ -206,7 +214,7 @@
 
 @attrs.define
 class BurstTopic:
-    """A topic that grows by a record each ``gap_s``; counts its calls."""
+    """A topic with a new record every ``gap_s``; counts calls to ``read``."""
 
     gap_s: float
     calls: int = 0
@@ -215,11 +223,11 @@
         return int(trio.current_time() / self.gap_s)
 
     async def read_newest(self) -> keyed_log.Batch:
-        """Nothing is in it yet."""
+        """Return no records; the topic is still empty."""
         return keyed_log.Batch([], 0)
 
     async def read(self, start: int, wait_ms: float) -> keyed_log.Batch:
-        """What has come, or the next."""
+        """Return the records from ``start`` on, or wait for the next."""
         self.calls += 1
         if self._count() <= start:
             await trio.sleep_until((start + 1) * self.gap_s + 1e-6)
@@ -232,7 +240,7 @@
 
 
 def test_burst_of_records_is_read_in_few_calls():
-    """162 endpoints register one by one, and each costs a call a delegate."""
+    """Guards against one call per endpoint when 162 register in a row."""
 
     async def main():
         topic = BurstTopic(0.05)
@@ -251,13 +259,15 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_last_record_is_passed_on_though_nothing_more_is_needed():
-    """Clients learn seconds late that a roll-out has been decided.
+def test_last_record_is_passed_on_when_the_topic_is_no_longer_needed():
+    """Guards against clients that learn seconds late of a roll-out's end.
 
-    Its status ends the need for statuses on the delegate that reads it.
+    Once the delegate has read the final status, it no longer needs the topic.
     """
     outages = make_outages(typing.cast(typing.Any, clock_module.ManualClock()))
-    reader = make_feed("statuses", typing.cast(typing.Any, Topic()), outages)
+    reader = make_feed(
+        "statuses", typing.cast(typing.Any, FakeTopic()), outages
+    )
     applied: list[keyed_log.Record] = []
     pushed = []
     reader.apply = applied.append
@@ -274,21 +284,21 @@
 
 @attrs.define
 class SlowTopic:
-    """A topic of which calls see ``records`` and answer ``late_s`` after."""
+    """A topic whose calls return ``records`` as of ``latency_s`` before."""
 
     records: list[keyed_log.Record] = attrs.field(factory=list)
-    late_s: float = 0.0
+    latency_s: float = 0.0
 
     async def read_newest(self) -> keyed_log.Batch:
-        """All that is there when the call comes."""
+        """Return all records present when the call arrives."""
         found, end = list(self.records), len(self.records)
-        await trio.sleep(self.late_s)
+        await trio.sleep(self.latency_s)
         return keyed_log.Batch(found, end)
 
     async def read(self, start: int, wait_ms: float) -> keyed_log.Batch:
-        """What is there when the call comes; nothing further is waited for."""
+        """Return records present when the call arrives, after the wait."""
         found, end = self.records[start:], len(self.records)
-        await trio.sleep(max(self.late_s, wait_ms / 1000))
+        await trio.sleep(max(self.latency_s, wait_ms / 1000))
         return keyed_log.Batch(found, max(start, end))
 
 
@@ -296,12 +306,13 @@
     return keyed_log.Record("desk", value, offset)
 
 
-def test_changes_are_taken_while_an_own_call_gets_no_answer():
-    """Work goes to an endpoint that left, though the delegate tells so.
+def test_changes_are_applied_while_a_call_gets_no_answer():
+    """Guards against requests to an endpoint whose removal was received.
 
-    The answer that comes after all is older, and takes nothing back.
+    The delegate's change has to be applied while a call to the store is
+    pending, and the late, older answer must not undo it.
     """
-    known: list[tuple[int, bytes | None]] = []
+    applied: list[tuple[int, bytes | None]] = []
 
     async def main():
         topic = SlowTopic([make_record(0, b"a")])
@@ -309,19 +320,19 @@
         reader = make_feed(
             "endpoints", typing.cast(typing.Any, topic), outages
         )
-        reader.apply = lambda each: known.append((each.offset, each.value))
+        reader.apply = lambda each: applied.append((each.offset, each.value))
         async with trio.open_nursery() as nursery:
             await reader.start(nursery)
             await trio.sleep(0.1)
             topic.records.append(make_record(1, b"b"))
-            topic.late_s = 5.0
+            topic.latency_s = 5.0
             await trio.sleep(store_polls.POLL_MS / 1000 + 1.0)
             change = change_log.Change(2, "desk", None)
             assert reader.apply_changes(1, 3, (change,))
-            assert known[-1] == (2, None)
+            assert applied[-1] == (2, None)
             await trio.sleep(6.0)
             assert reader.position == 3
-            assert known == [(2, None)]
+            assert applied == [(2, None)]
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/cover/test_forwarding_freshness.py
+++ b/tests/cover/test_forwarding_freshness.py
@@ -1,4 +1,4 @@
-"""Proofs of what the store holds, taken from another entry VM."""
+"""Delegated reads, from queries to reports, changes and chunks."""
 
 import random
 import typing
@@ -24,15 +24,15 @@
 
 
 @attrs.define
-class Reporter:
-    """Entry VMs of one failure domain; what is sent is kept."""
+class FakeReporter:
+    """Lists the peers of a failure domain, and records what is sent."""
 
-    near: list[str]
+    peers: list[str]
     sent: list[tuple[str, bytes]] = attrs.field(factory=list)
     handlers: dict = attrs.field(factory=dict)
 
     def list_domain_peers(self):
-        return self.near
+        return self.peers
 
     def add_handler(self, kind, handler):
         self.handlers[kind] = handler
@@ -42,12 +42,12 @@
 
 
 @attrs.define
-class Feed:
-    """A topic's position, what was attested of it, and its changes."""
+class FakeFeed:
+    """A topic without changes; records what it was told of its position."""
 
     position: int = 7
     as_of_ms: float = 0.0
-    taken: list[tuple[int, float]] = attrs.field(factory=list)
+    confirmed: list[tuple[int, float]] = attrs.field(factory=list)
     announced: list[int] = attrs.field(factory=list)
 
     def get_attestation(self):
@@ -66,21 +66,21 @@
 
     def confirm(self, attested):
         if attested.position == self.position:
-            self.taken.append((attested.position, attested.as_of_ms))
+            self.confirmed.append((attested.position, attested.as_of_ms))
 
     def notify_position(self, position, served):
         self.announced.append(position)
 
 
-def make_controller(name, near):
+def make_controller(name, peers):
     clock: typing.Any = clock_module.ManualClock(now=10_000.0)
-    reporter: typing.Any = Reporter(near)
+    reporter: typing.Any = FakeReporter(peers)
     made = freshness.FreshnessController(
         board_module.ForwardingBoard(name=name, failure_domain="north"),
         clock,
         reporter,
     )
-    topic = Feed()
+    topic = FakeFeed()
     made.add_topic("keys", typing.cast(typing.Any, topic))
     return made, clock, topic
 
@@ -90,14 +90,14 @@
     made.reporter.handlers[fields[0]](peer, fields)
 
 
-def ask_once(made):
-    """Have a controller ask its reader; return the reader and the bytes."""
+def send_query(made):
+    """Make a controller query its delegate; return its name and the bytes."""
     made._query_delegates()
     return made.reporter.sent[-1]
 
 
 def make_pair():
-    """Two entry VMs, the first of which asks the second."""
+    """Make two entry VMs, the first of which queries the second."""
     first, second = sorted(
         ("vm-a", "vm-b"),
         key=lambda name: (
@@ -107,8 +107,8 @@
     return make_controller(first, [second]), make_controller(second, [first])
 
 
-def test_entry_vms_choose_readers_alike():
-    """Calls to the store do not grow with the entry VMs of a domain."""
+def test_entry_vms_agree_on_delegates():
+    """Guards against store calls that grow with the size of a domain."""
     for count in (1, 2, 3, 16, 17, 24, 82):
         names = [f"vm-{number}" for number in range(count)]
         chosen = [delegates.choose_delegate(name, names) for name in names]
@@ -117,70 +117,74 @@
         assert all(
             delegates.choose_delegate(name, names) == name for name in reading
         )
-        most = max(chosen.count(name) for name in reading)
-        assert most <= 2.5 * delegates.MAX_CLIENTS_PER_DELEGATE
+        max_clients = max(chosen.count(name) for name in reading)
+        assert max_clients <= 2.5 * delegates.MAX_CLIENTS_PER_DELEGATE
 
 
-def test_proof_is_as_of_the_question():
-    """An entry VM trusts its keys for longer than it may.
+def test_attestation_is_as_of_the_sending_of_the_query():
+    """Guards against keys that are trusted for longer than allowed.
 
-    The answer to its question was on the way for two seconds. What it proves
-    is as old as the question, and the age that the reader told on top.
+    The report was in transit for two seconds. It holds as of the sending of
+    the query, minus the age in the report.
     """
-    (asker, clock, topic), (reader, reader_clock, known) = make_pair()
-    name, question = ask_once(asker)
+    (client, clock, topic), (reader, reader_clock, reader_topic) = make_pair()
+    name, query = send_query(client)
     assert name == reader.board.name
     reader_clock.advance(500.0)
-    known.as_of_ms = reader_clock.now - 1_200.0
-    deliver(reader, asker.board.name, question)
+    reader_topic.as_of_ms = reader_clock.now - 1_200.0
+    deliver(reader, client.board.name, query)
     _, answer = reader.reporter.sent[-1]
     clock.advance(2_000.0)
-    deliver(asker, reader.board.name, answer)
-    ((position, as_of_ms),) = topic.taken
+    deliver(client, reader.board.name, answer)
+    ((position, as_of_ms),) = topic.confirmed
     assert position == 7
     assert as_of_ms <= 10_000.0 - 1_200.0
 
 
-def test_news_is_told_at_once_to_those_who_ask():
-    """A key that was taken away works on until the next question."""
-    (asker, clock, topic), (reader, _, known) = make_pair()
-    _, question = ask_once(asker)
-    deliver(reader, asker.board.name, question)
-    known.position = 8
+def test_changes_are_pushed_at_once_to_clients():
+    """Guards against a revoked key that works until the next query."""
+    (client, clock, topic), (reader, _, reader_topic) = make_pair()
+    _, query = send_query(client)
+    deliver(reader, client.board.name, query)
+    reader_topic.position = 8
     sent = len(reader.reporter.sent)
     reader.push_updates("keys")
     ((name, answer),) = reader.reporter.sent[sent:]
-    assert name == asker.board.name
-    deliver(asker, reader.board.name, answer)
+    assert name == client.board.name
+    deliver(client, reader.board.name, answer)
     assert topic.announced == [8]
 
 
-def test_answers_that_nobody_asked_for_prove_nothing():
-    """An answer to a former start, another's, or one that was made up.
+def test_reports_that_answer_no_pending_query_are_ignored():
+    """Guards against keys trusted because of a forged or misdirected report.
 
-    Each would have an entry VM believe that its keys are the newest.
+    Covers an unknown query number, another sender, and an expired query.
     """
-    (asker, clock, topic), (reader, _, _) = make_pair()
-    _, question = ask_once(asker)
-    number = freshness_messages.Query.from_fields(cbor2.loads(question)).number
-    told = {"keys": freshness_messages.TopicReport(7, 0.0, 0.0, 7, 7)}
-    wrong = freshness_messages.FreshnessReport(number + 1, told).to_bytes()
-    deliver(asker, reader.board.name, wrong)
-    right = freshness_messages.FreshnessReport(number, told).to_bytes()
-    deliver(asker, "vm-c", right)
-    assert not topic.taken
-    assert not asker.has_delegate("keys")
+    (client, clock, topic), (reader, _, _) = make_pair()
+    _, query = send_query(client)
+    number = freshness_messages.Query.from_fields(cbor2.loads(query)).number
+    reports = {"keys": freshness_messages.TopicReport(7, 0.0, 0.0, 7, 7)}
+    wrong_number = freshness_messages.FreshnessReport(
+        number + 1, reports
+    ).to_bytes()
+    deliver(client, reader.board.name, wrong_number)
+    right_number = freshness_messages.FreshnessReport(
+        number, reports
+    ).to_bytes()
+    deliver(client, "vm-c", right_number)
+    assert not topic.confirmed
+    assert not client.has_delegate("keys")
     for _ in range(freshness.MAX_PENDING_QUERIES + 1):
-        asker._query(reader.board.name)
-    deliver(asker, reader.board.name, right)
-    assert not topic.taken
+        client._query(reader.board.name)
+    deliver(client, reader.board.name, right_number)
+    assert not topic.confirmed
 
 
-def test_unreadable_proofs_are_refused():
-    """Bytes of another program, or an age in the future."""
-    (asker, clock, topic), (reader, _, _) = make_pair()
-    _, question = ask_once(asker)
-    number = cbor2.loads(question)[1]
+def test_malformed_reports_are_rejected():
+    """Guards against reports with missing or mistyped fields, or age < 0."""
+    (client, clock, topic), (reader, _, _) = make_pair()
+    _, query = send_query(client)
+    number = cbor2.loads(query)[1]
     for fields in (
         [freshness_messages.REPORT],
         [freshness_messages.REPORT, number],
@@ -219,27 +223,27 @@
         [freshness_messages.REPORT, "x", {}],
     ):
         try:
-            deliver(asker, reader.board.name, cbor2.dumps(fields))
+            deliver(client, reader.board.name, cbor2.dumps(fields))
         except load_report_messages.UNREADABLE:
             continue
         raise AssertionError(fields)
-    assert not topic.taken
+    assert not topic.confirmed
 
 
-def test_silent_reader_is_not_relied_on():
-    """The reader is gone, and its word is still taken for the newest."""
-    (asker, clock, _), (reader, _, _) = make_pair()
-    _, question = ask_once(asker)
-    deliver(reader, asker.board.name, question)
-    deliver(asker, reader.board.name, reader.reporter.sent[-1][1])
-    assert asker.has_delegate("keys")
+def test_silent_delegate_is_not_relied_on():
+    """Guards against reliance on a delegate that no longer answers."""
+    (client, clock, _), (reader, _, _) = make_pair()
+    _, query = send_query(client)
+    deliver(reader, client.board.name, query)
+    deliver(client, reader.board.name, reader.reporter.sent[-1][1])
+    assert client.has_delegate("keys")
     clock.advance(freshness.DELEGATE_TIMEOUT_MS)
-    assert not asker.has_delegate("keys")
+    assert not client.has_delegate("keys")
 
 
 @attrs.define
-class Statuses:
-    """The topic of statuses; what is appended is written at its end."""
+class FakeStatusTopic:
+    """The topic of statuses; counts the attempts to append."""
 
     written: list[keyed_log.Record] = attrs.field(factory=list)
     calls: int = 0
@@ -256,7 +260,7 @@
 
 
 def make_rounds(name, names, statuses):
-    """Rounds of one roll-out that runs, on an entry VM among others."""
+    """Make the rounds of one running roll-out on one of several entry VMs."""
     clock: typing.Any = clock_module.ManualClock(now=10_000.0)
     board = board_module.ForwardingBoard(name=name, failure_domain="north")
     board.orders["desk"] = facts.RolloutOrder(
@@ -281,73 +285,79 @@
 
 
 def play_rounds(statuses, latency_ms, alive=lambda number: True):
-    """195 entry VMs see an order at once; returns when it is written."""
+    """Let 195 entry VMs see an order at once.
+
+    Returns when they learn of the status that one of them wrote.
+    """
     names = [f"vm-{number}" for number in range(195)]
-    played = [
+    instances = [
         make_rounds(name, names, statuses)
         for number, name in enumerate(names)
         if alive(number)
     ]
-    known_ms = None
+    learned_ms = None
 
     async def main():
-        nonlocal known_ms
+        nonlocal learned_ms
         for tick in range(60):
             now_ms = 10_000.0 + 100.0 * tick
-            for made, clock, rollout in played:
+            for made, clock, rollout in instances:
                 clock.now = made.as_of_ms = now_ms
-                if known_ms is not None and now_ms >= known_ms:
+                if learned_ms is not None and now_ms >= learned_ms:
                     made.replace(statuses.written)
                     made.get_end = lambda: len(statuses.written)
                 await made._step(rollout)
-            if known_ms is None and statuses.written:
-                known_ms = now_ms + latency_ms
+            if learned_ms is None and statuses.written:
+                learned_ms = now_ms + latency_ms
 
     trio.run(main)
-    return known_ms
+    return learned_ms
 
 
 def test_status_is_written_by_few_of_many_entry_vms():
-    """All 195 write a roll-out's status at once, and one write succeeds."""
-    statuses = Statuses()
-    known_ms = play_rounds(typing.cast(typing.Any, statuses), 300.0)
-    assert known_ms is not None and known_ms <= 11_000.0
+    """Guards against 195 writes of a status at once, all but one in vain."""
+    statuses = FakeStatusTopic()
+    learned_ms = play_rounds(typing.cast(typing.Any, statuses), 300.0)
+    assert learned_ms is not None and learned_ms <= 11_000.0
     assert len(statuses.written) == 1
     assert statuses.calls <= 4
 
 
-def test_status_is_written_though_many_entry_vms_have_gone():
-    """The one whose turn it is has died, and no status is ever written."""
+def test_status_is_written_when_many_entry_vms_are_down():
+    """Guards against a status never written as the VM in turn is down."""
     for gone in range(3):
-        statuses = Statuses()
-        known_ms = play_rounds(
+        statuses = FakeStatusTopic()
+        learned_ms = play_rounds(
             typing.cast(typing.Any, statuses),
             300.0,
             alive=lambda number, gone=gone: number % 3 == gone,
         )
-        assert known_ms is not None and known_ms <= 12_000.0
+        assert learned_ms is not None and learned_ms <= 12_000.0
         assert statuses.calls <= 30
 
 
 def test_entry_vms_do_not_write_in_step_while_the_store_is_down():
-    """Each of 195 calls a store that is down more than once a second."""
-    statuses = Statuses(down=True)
+    """Guards against 195 VMs calling a failed store more than once a second.
+
+    The limit is six calls of each in six seconds.
+    """
+    statuses = FakeStatusTopic(down=True)
     play_rounds(typing.cast(typing.Any, statuses), 300.0)
     assert statuses.calls <= 195 * 6
 
 
 @attrs.define
-class Registry:
-    """A topic that is followed by changes; ``log`` has what is known of it.
+class FakeTopic:
+    """A topic followed through changes, which ``log`` keeps.
 
-    While ``busy`` a call of its own is under way, and it takes none. ``read``
-    is set where it would have to read the store.
+    While ``busy`` it cannot apply changes. ``is_confirmed`` is set once its
+    position was confirmed, ``read`` once it would have to read the store.
     """
 
     log: change_log.ChangeLog = attrs.field(factory=change_log.ChangeLog)
     position: int = 0
     busy: bool = False
-    proved: bool = False
+    is_confirmed: bool = False
     read: bool = False
 
     def get_attestation(self):
@@ -375,45 +385,45 @@
         return True
 
     def confirm(self, attested):
-        self.proved |= attested.position == self.position
+        self.is_confirmed |= attested.position == self.position
 
     def notify_position(self, position, served):
         self.read |= not served
 
 
-def make_registries():
-    """A pair of entry VMs that know nothing yet, and their topics."""
+def make_topic_pair():
+    """Make a pair of entry VMs with empty topics; return both."""
     pair = make_pair()
     topics = []
     for made, _, _ in pair:
-        topic = Registry()
+        topic = FakeTopic()
         made.add_topic("endpoints", typing.cast(typing.Any, topic))
         topics.append(topic)
     return pair, topics
 
 
-def exchange(asker, reader, lose=lambda: False):
-    """Deliver all that is sent until nothing more is."""
+def exchange(client, reader, lose=lambda: False):
+    """Deliver datagrams until no more are sent; ``lose`` drops some."""
     for _ in range(300):
-        if not asker.reporter.sent and not reader.reporter.sent:
+        if not client.reporter.sent and not reader.reporter.sent:
             return
-        for one, other in ((asker, reader), (reader, asker)):
+        for one, other in ((client, reader), (reader, client)):
             sent, one.reporter.sent[:] = list(one.reporter.sent), []
             for _, data in sent:
                 assert len(data) <= 1_400
                 if not lose():
                     deliver(other, one.board.name, data)
-        asker.clock.advance(5.0)
-    raise AssertionError("they never stop")
+        client.clock.advance(5.0)
+    raise AssertionError("the entry VMs never stop sending datagrams")
 
 
 def test_changes_come_with_the_report():
-    """Each endpoint that comes or goes costs a call of each entry VM."""
-    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_registries()
+    """Guards against a call of each entry VM for each changed endpoint."""
+    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_topic_pair()
     for number in range(20):
         theirs.write(f"desk-{number}", b"x" * 300)
     theirs.write("desk-0", None)
-    ask_once(client)
+    send_query(client)
     exchange(client, delegate)
     for _ in range(8):
         client.clock.advance(freshness.CATCH_UP_RETRY_MS)
@@ -421,13 +431,13 @@
         exchange(client, delegate)
     assert mine.log.newest == theirs.log.newest
     assert mine.position == theirs.position
-    assert mine.proved and not mine.read
+    assert mine.is_confirmed and not mine.read
 
 
 def test_burst_of_registrations_is_followed_without_the_store():
-    """162 endpoints register between two queries; all VMs read the store."""
-    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_registries()
-    ask_once(client)
+    """Guards against store reads as 162 endpoints register in a burst."""
+    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_topic_pair()
+    send_query(client)
     exchange(client, delegate)
     for number in range(162):
         theirs.write(f"desk-{number}", b"x" * 300)
@@ -437,11 +447,11 @@
     assert not mine.read
 
 
-def test_lost_updates_are_made_good_by_the_next():
-    """A tenth of the datagrams of a burst are lost; all VMs read the store."""
+def test_lost_updates_are_recovered_by_the_next():
+    """Guards against store reads when 10% of a burst's datagrams are lost."""
     draw = random.Random(7)
-    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_registries()
-    ask_once(client)
+    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_topic_pair()
+    send_query(client)
     exchange(client, delegate)
     for number in range(162):
         theirs.write(f"desk-{number}", b"x" * 300)
@@ -456,70 +466,73 @@
     assert not mine.read
 
 
-def test_change_that_is_pushed_twice_is_taken_once():
-    """An endpoint that has left comes back: an old change was taken anew."""
-    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_registries()
-    ask_once(client)
+def test_change_that_is_received_twice_is_applied_once():
+    """Guards against a removed endpoint listed again by a late duplicate."""
+    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_topic_pair()
+    send_query(client)
     exchange(client, delegate)
     for value in (b"ready", None):
         theirs.write("desk-0", value)
         delegate.push_updates("endpoints")
-        twice = delegate.reporter.sent[-1]
+        last_datagram = delegate.reporter.sent[-1]
         exchange(client, delegate)
-        deliver(client, delegate.board.name, twice[1])
+        deliver(client, delegate.board.name, last_datagram[1])
     assert not mine.log.newest and mine.position == 2
     assert not mine.read
 
 
-def test_changes_that_cannot_be_taken_are_not_queried_for_again():
-    """Two entry VMs send each other datagrams as fast as they can."""
-    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_registries()
+def test_changes_that_cannot_be_applied_are_not_queried_for_again():
+    """Guards against two entry VMs exchanging datagrams without end."""
+    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_topic_pair()
     for number in range(20):
         theirs.write(f"desk-{number}", b"x" * 300)
     mine.busy = True
-    ask_once(client)
+    send_query(client)
     exchange(client, delegate)
     assert not mine.log.newest
 
 
-def test_table_of_many_datagrams_comes_in_chunks():
-    """Each change of a long table costs a call of each entry VM."""
+def test_table_longer_than_a_datagram_is_sent_in_chunks():
+    """Guards against a call of each entry VM for each long table."""
     draw = random.Random(3)
-    long = draw.randbytes(9_000)
-    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_registries()
-    theirs.write("table", long)
+    table = draw.randbytes(9_000)
+    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_topic_pair()
+    theirs.write("table", table)
     theirs.write("order", b"v2")
-    ask_once(client)
+    send_query(client)
     exchange(client, delegate)
-    assert mine.log.newest["table"].value == long
+    assert mine.log.newest["table"].value == table
     assert mine.log.newest["order"].value == b"v2"
-    assert mine.proved and not mine.read
+    assert mine.is_confirmed and not mine.read
 
 
-def test_lost_chunks_come_with_the_next_query():
-    """A third of a long table's datagrams are lost, and it is never known."""
+def test_lost_chunks_are_sent_again_after_the_next_query():
+    """Guards against a long table never received when datagrams are lost.
+
+    Of each exchange, 30% of the datagrams are lost.
+    """
     draw = random.Random(5)
-    long = draw.randbytes(9_000)
-    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_registries()
-    ask_once(client)
+    table = draw.randbytes(9_000)
+    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_topic_pair()
+    send_query(client)
     exchange(client, delegate)
-    theirs.write("table", long)
+    theirs.write("table", table)
     delegate.push_updates("endpoints")
     exchange(client, delegate, lambda: draw.random() < 0.3)
     for _ in range(6):
         client.clock.advance(400.0)
         client._query_delegates()
         exchange(client, delegate, lambda: draw.random() < 0.3)
-    assert mine.log.newest["table"].value == long
+    assert mine.log.newest["table"].value == table
     assert not mine.read
 
 
-def test_chunks_that_do_not_fit_are_refused():
-    """Chunks of two tables are joined, and routes go astray."""
-    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_registries()
+def test_chunks_that_do_not_match_are_rejected():
+    """Guards against a corrupt table joined from chunks of two tables."""
+    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_topic_pair()
     theirs.write("table", random.Random(3).randbytes(3_000))
-    _, question = ask_once(client)
-    deliver(delegate, client.board.name, question)
+    _, query = send_query(client)
+    deliver(delegate, client.board.name, query)
     sent = [cbor2.loads(data) for _, data in delegate.reporter.sent]
     chunks = [f for f in sent if f[0] == freshness_messages.CHUNK]
     assert len(chunks) > 2
@@ -530,32 +543,34 @@
     except load_report_messages.UNREADABLE:
         assert mine.position == 0
         return
-    raise AssertionError("a damaged table was taken")
+    raise AssertionError("a corrupt table was applied")
 
 
 def test_record_too_long_for_datagrams_is_read_from_the_store():
-    """A table that fits no row of datagrams is never in force."""
-    most = freshness_messages.MAX_CHUNKS * freshness_messages.MAX_CHANGES_BYTES
-    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_registries()
-    theirs.write("table", random.Random(3).randbytes(most + 1))
-    ask_once(client)
+    """Guards against a table too long for chunks that is never applied."""
+    max_bytes = (
+        freshness_messages.MAX_CHUNKS * freshness_messages.MAX_CHANGES_BYTES
+    )
+    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_topic_pair()
+    theirs.write("table", random.Random(3).randbytes(max_bytes + 1))
+    send_query(client)
     exchange(client, delegate)
     assert mine.read and not mine.log.newest
 
 
 def test_client_that_is_too_far_behind_reads_the_store():
-    """Removals from before the delegate's start are not known to it."""
-    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_registries()
+    """Guards against missed removals from before the delegate's start."""
+    ((client, _, _), (delegate, _, _)), (mine, theirs) = make_topic_pair()
     theirs.log.replace([keyed_log.Record("desk-1", b"x", 4)], None, 9)
     theirs.position = 9
     mine.position = 6
-    ask_once(client)
+    send_query(client)
     exchange(client, delegate)
     assert mine.read
 
 
-def test_history_that_is_lost_leaves_clients_served():
-    """The store drops its history, and each entry VM lists all endpoints."""
+def test_clients_are_served_after_the_store_lost_its_history():
+    """Guards against a full read by each client after a loss of history."""
     log = change_log.ChangeLog()
     log.replace([keyed_log.Record("a", b"1", 3)], None, 5)
     log.apply(keyed_log.Record("b", b"1", 5))
@@ -570,16 +585,16 @@
     assert log.list_since(4) is None
 
 
-def test_superseded_changes_are_left_out():
-    """Ten tables in three seconds fill the links of an entry VM."""
+def test_superseded_changes_are_omitted():
+    """Guards against links saturated by ten tables in three seconds."""
     log = change_log.ChangeLog()
     for offset in range(10):
         log.apply(keyed_log.Record("table", b"%d" % offset, offset))
     assert log.list_since(2) == [change_log.Change(9, "table", b"9")]
 
 
-def test_removals_that_are_forgotten_raise_the_floor():
-    """A client behind them would keep endpoints that have left."""
+def test_discarded_removals_raise_the_floor():
+    """Guards against clients that miss removals and keep the endpoints."""
     log = change_log.ChangeLog()
     for offset in range(change_log.MAX_REMOVED + 5):
         log.apply(keyed_log.Record(f"desk-{offset}", None, offset))
@@ -588,10 +603,10 @@
     assert found is not None and len(found) == change_log.MAX_REMOVED
 
 
-def test_many_changes_at_once_are_brought_within_milliseconds():
-    """80 endpoints of a new version register at once; all VMs list them."""
-    ((client, clock, _), (delegate, _, _)), (mine, theirs) = make_registries()
-    ask_once(client)
+def test_many_changes_at_once_reach_clients_within_milliseconds():
+    """Guards against full reads as 80 endpoints register at once."""
+    ((client, clock, _), (delegate, _, _)), (mine, theirs) = make_topic_pair()
+    send_query(client)
     exchange(client, delegate)
     began_ms = clock.now
     for number in range(80):
--- a/tests/cover/test_forwarding_registry.py
+++ b/tests/cover/test_forwarding_registry.py
@@ -1,4 +1,4 @@
-"""What is believed of endpoints whose entries go missing in an outage."""
+"""Which endpoints are kept when entries go missing in an outage."""
 
 import typing
 
@@ -20,25 +20,25 @@
 HEARTBEAT_S = 1.2
 LEASE_S = 3 * HEARTBEAT_S
 POLL_MS = 1_100.0
-# When outages begin, and until when endpoints are watched.
+# When outages begin, and when observation of the endpoints ends.
 OUTAGE_S = 6.0
 END_S = 30.0
 NAMES = [f"desk-{number}" for number in range(8)]
-# As long as the users allow an entry VM to catch up after an outage.
+# The time users allow an entry VM to catch up after an outage.
 CATCH_UP_S = 3.0
 
 
 class TrioClock(clock_module.Clock):
-    """The clock of trio's tests."""
+    """A boot clock that follows trio's virtual time."""
 
     def boot_ms(self) -> float:
-        """The time in ms."""
+        """Return the virtual time in ms."""
         return trio.current_time() * 1000
 
 
 @attrs.frozen
-class Written:
-    """A record and when the store has it; ``live`` False removes the key."""
+class WrittenRecord:
+    """A record written at ``at_s``; it removes the key unless ``live``."""
 
     at_s: float
     name: str
@@ -46,20 +46,20 @@
 
 
 @attrs.define
-class Topic:
-    """A topic whose records come at set times.
+class FakeTopic:
+    """A topic whose records are written at given times.
 
-    It leaves calls without an answer from ``down_s`` until ``up_s``, or
-    resets them at once if it ``resets``.
+    From ``down_s`` until ``up_s`` calls get no answer, or are reset at once
+    if ``resets`` is set.
     """
 
-    records: list[Written]
+    records: list[WrittenRecord]
     down_s: float
     up_s: float
     resets: bool = False
 
     async def read_newest(self) -> keyed_log.Batch:
-        """The newest record of every key."""
+        """Return the newest record of every key."""
         await self._answer()
         newest = {}
         for offset, record in enumerate(self._list_written()):
@@ -68,13 +68,13 @@
         return keyed_log.Batch(found, len(self._list_written()))
 
     async def read(self, start: int, wait_ms: float) -> keyed_log.Batch:
-        """Records from ``start`` on; waits for one."""
+        """Return records from ``start`` on; wait for one."""
         until_s = trio.current_time() + wait_ms / 1000
         if start < len(self.records):
             until_s = min(until_s, self.records[start].at_s)
-        begins_s = max(self.down_s, trio.current_time())
-        if begins_s < min(self.up_s, until_s):
-            await trio.sleep_until(begins_s)
+        outage_start_s = max(self.down_s, trio.current_time())
+        if outage_start_s < min(self.up_s, until_s):
+            await trio.sleep_until(outage_start_s)
             if not self.resets:
                 await trio.sleep(wait_ms / 1000)
         else:
@@ -94,7 +94,7 @@
                 await trio.sleep(store.CALL_TIMEOUT_MS / 1000)
             raise errors.PlatformUnavailable("store", "no answer")
 
-    def _list_written(self) -> list[Written]:
+    def _list_written(self) -> list[WrittenRecord]:
         now_s = trio.current_time()
         return [record for record in self.records if record.at_s <= now_s]
 
@@ -113,30 +113,32 @@
     )
 
 
-def list_lapses(length_s):
-    """All endpoints live on while the store is down for everybody.
+def list_expiries(length_s):
+    """List records of endpoints that live on while the store is down for all.
 
-    Each renews at its own moments; an entry whose time is up is removed, and
-    written again at the endpoint's next heartbeat after the return.
+    Heartbeats are spread over their interval. An entry whose lease expires is
+    removed, and written again at the first heartbeat after the recovery.
     """
     written = []
     for index, name in enumerate(NAMES):
         phase_s = HEARTBEAT_S * index / len(NAMES)
-        beats = [phase_s + HEARTBEAT_S * n for n in range(40)]
+        heartbeats_s = [phase_s + HEARTBEAT_S * n for n in range(40)]
         up_s = OUTAGE_S + length_s
-        renewed_s = max(s for s in beats if s < OUTAGE_S)
-        next_s = min(s for s in beats if s >= up_s)
-        if renewed_s + LEASE_S < next_s:
-            written.append(Written(renewed_s + LEASE_S, name, False))
-            written.append(Written(next_s, name, True))
+        last_renewal_s = max(s for s in heartbeats_s if s < OUTAGE_S)
+        next_heartbeat_s = min(s for s in heartbeats_s if s >= up_s)
+        if last_renewal_s + LEASE_S < next_heartbeat_s:
+            written.append(
+                WrittenRecord(last_renewal_s + LEASE_S, name, False)
+            )
+            written.append(WrittenRecord(next_heartbeat_s, name, True))
     return written
 
 
-async def watch(written, length_s, offset_s, resets=False):
+async def watch(written, length_s, phase_shift_s, resets=False):
     """Follow the registry with two feeds; return when names were dropped.
 
-    The polls begin ``offset_s`` after the topic, so that outages meet them
-    at any moment.
+    The feeds start ``phase_shift_s`` apart, so that outages begin at
+    different points of their polls.
     """
     clock = TrioClock()
     outages = store_outages.OutageTracker(clock)
@@ -148,11 +150,11 @@
         heartbeat_ms=HEARTBEAT_S * 1000,
         get_poll_wait_ms=lambda: POLL_MS,
     )
-    records = [Written(0.0, name, True) for name in NAMES]
+    records = [WrittenRecord(0.0, name, True) for name in NAMES]
     records += sorted(written, key=lambda each: each.at_s)
     outage = (OUTAGE_S, OUTAGE_S + length_s, resets)
 
-    def find_wait():
+    def get_poll_wait():
         if not reader.missing:
             return POLL_MS
         return max(20.0, min(POLL_MS, reader.compute_renewal_wait_ms()))
@@ -160,7 +162,7 @@
     feeds = [
         feed.TopicFeed(
             "declarations",
-            typing.cast(typing.Any, Topic([], *outage)),
+            typing.cast(typing.Any, FakeTopic([], *outage)),
             clock,
             outages,
             lambda records: None,
@@ -168,13 +170,13 @@
         ),
         feed.TopicFeed(
             "endpoints",
-            typing.cast(typing.Any, Topic(records, *outage)),
+            typing.cast(typing.Any, FakeTopic(records, *outage)),
             clock,
             outages,
             reader.replace,
             reader.apply,
             reader.mark_current,
-            get_poll_wait=find_wait,
+            get_poll_wait=get_poll_wait,
         ),
     ]
     dropped = {}
@@ -182,7 +184,7 @@
     async with trio.open_nursery() as nursery:
         await trio.sleep(0.5)
         await feeds[1].start(nursery)
-        await trio.sleep(offset_s)
+        await trio.sleep(phase_shift_s)
         await feeds[0].start(nursery)
         while trio.current_time() < END_S:
             await trio.sleep(0.01)
@@ -194,66 +196,70 @@
     return dropped
 
 
-def follow(*case):
+def run_watch(*case):
     """Run ``watch`` in virtual time."""
     clock = trio.testing.MockClock(autojump_threshold=0)
     return trio.run(watch, *case, clock=clock)
 
 
-def test_outage_of_the_store_takes_no_living_endpoint_away():
-    """Callers are refused for a second after an outage of the store.
+def test_outage_of_the_store_drops_no_live_endpoint():
+    """Guards against callers refused for 1 s after an outage of the store.
 
-    Entries of living endpoints have run out in it, some at its end and some
-    right after it, and are written again with the next heartbeat. Dropped
-    meanwhile, they leave the pools empty.
+    Entries of live endpoints expire during the outage, some at its end and
+    some right after it, and are written again with the next heartbeat. If they
+    are dropped meanwhile, the pools are empty.
     """
     for length_s in (0.4, 2.0, 2.4, 2.7, 3.1, 3.6, 4.4, 5.2, 8.0, 12.0):
-        written = list_lapses(length_s)
-        for offset_s in (0.0, 0.3, 0.7):
+        written = list_expiries(length_s)
+        for phase_shift_s in (0.0, 0.3, 0.7):
             for resets in (False, True):
-                found = follow(written, length_s, offset_s, resets)
-                assert not found, (length_s, offset_s, resets, found)
+                found = run_watch(written, length_s, phase_shift_s, resets)
+                assert not found, (length_s, phase_shift_s, resets, found)
 
 
-def test_endpoint_that_leaves_in_an_own_outage_is_dropped_at_the_return():
-    """Requests go on to an endpoint that left while the store was lost.
+def test_endpoint_removed_in_an_outage_of_one_vm_is_dropped_at_recovery():
+    """Guards against requests to an endpoint that left during an outage.
 
-    The store served everybody else. That the other entries outlived an
-    outage longer than any lease shows it; after a shorter one the endpoint
-    is waited for, and dropped within the time there is to catch up.
+    Only this entry VM had lost the store. After an outage longer than any
+    lease, the other entries that outlived it show that. After a shorter one
+    the endpoint gets a grace period, and is dropped within the time to catch
+    up.
     """
     for length_s in (0.4, 1.5, 2.5, 4.0, 6.0, 8.0, 12.0):
         up_s = OUTAGE_S + length_s
-        for part in (0.05, 0.5, 0.95):
-            left_s = OUTAGE_S + part * length_s
-            written = [Written(left_s, name, False) for name in NAMES[:3]]
-            for offset_s in (0.0, 0.3, 0.7):
-                found = follow(written, length_s, offset_s)
-                case = (length_s, part, offset_s, found)
+        for fraction in (0.05, 0.5, 0.95):
+            removed_s = OUTAGE_S + fraction * length_s
+            written = [
+                WrittenRecord(removed_s, name, False) for name in NAMES[:3]
+            ]
+            for phase_shift_s in (0.0, 0.3, 0.7):
+                found = run_watch(written, length_s, phase_shift_s)
+                case = (length_s, fraction, phase_shift_s, found)
                 assert set(found) == set(NAMES[:3]), case
                 assert max(found.values()) <= up_s + CATCH_UP_S, case
                 if length_s >= 8.0:
                     assert max(found.values()) <= up_s + 0.75, case
 
 
-def test_endpoint_that_leaves_after_a_failed_call_is_dropped_at_once():
-    """Requests go on for two seconds to an endpoint that has left.
+def test_endpoint_removed_after_a_failed_call_is_dropped_at_once():
+    """Guards against requests sent for 2 s to an endpoint that has left.
 
-    The store had reset a call shortly before. No entry can have run out in
-    so short a time, so there is nothing to wait for.
+    The store had reset a call shortly before. No entry can have expired in so
+    short a time, so there is no grace period.
     """
-    left_s = OUTAGE_S + 0.6
-    for offset_s in (0.0, 0.3, 0.7, 1.0):
-        written = [Written(left_s, NAMES[0], False)]
-        found = follow(written, 0.3, offset_s, True)
+    removed_s = OUTAGE_S + 0.6
+    for phase_shift_s in (0.0, 0.3, 0.7, 1.0):
+        written = [WrittenRecord(removed_s, NAMES[0], False)]
+        found = run_watch(written, 0.3, phase_shift_s, True)
         assert set(found) == {NAMES[0]}
-        assert found[NAMES[0]] <= left_s + 0.1, (offset_s, found)
+        assert found[NAMES[0]] <= removed_s + 0.1, (phase_shift_s, found)
 
 
-def test_lapses_need_an_outage_of_their_length():
-    """A short failure of one call holds a removed entry back for seconds.
+def test_entries_expire_only_in_outages_longer_than_their_lease():
+    """Guards against removed entries kept for seconds after one failed call.
 
-    No lease can run out in it, so what is missing after it was taken out.
+    No lease can expire in so short a failure, so an entry that is missing
+    afterwards has been removed.
     """
     assert lapses.is_too_short(2_000.0, 1_200.0)
     assert not lapses.is_too_short(2_300.0, 1_200.0)
@@ -262,9 +268,10 @@
     assert not lapses.were_renewed(4_800.0, 1_200.0, 0, 8)
 
 
-def test_entry_without_a_lease_does_not_speak_for_the_others():
-    """All pools are emptied since one entry has outlived the outage.
+def test_entry_without_a_lease_is_no_evidence_for_the_others():
+    """Guards against emptying all pools because one entry never expires.
 
-    Another program wrote it, and it never runs out.
+    Another program wrote the entry without a lease, so that it outlived the
+    outage.
     """
     assert not lapses.were_renewed(9_000.0, 1_200.0, 1, 8)
--- a/tests/cover/test_store_eras.py
+++ b/tests/cover/test_store_eras.py
@@ -1,4 +1,4 @@
-"""Answers and positions of a store that comes back from copies."""
+"""Answers and positions of a store that is restored from backups."""
 
 import typing
 
@@ -17,8 +17,8 @@
 from carawayward.platform import store
 
 
-def test_era_is_read_from_each_answer_or_it_counts_for_nothing():
-    """An entry VM takes a lost history for the newest."""
+def test_answer_is_rejected_unless_its_era_is_readable():
+    """Guards against a lost history taken for the current one."""
     assert store.read_era([(b"Content-Length", b"3")]) == 0
     assert store.read_era([(b"Store-Era", b"7")]) == 7
     for value in (b"", b"-1", b"x", b"1.5", b"9" * 40, b"1,2"):
@@ -29,33 +29,33 @@
         raise AssertionError(value)
 
 
-def test_answer_of_a_former_era_is_no_answer():
-    """A part of the store lags; what it says has been lost."""
-    made = store.Store("127.0.0.1:1")
+def test_answer_of_a_former_era_is_rejected():
+    """Guards against records of a lost history in a late answer."""
+    platform_store = store.Store("127.0.0.1:1")
     for era in (0, 3, 3, 5):
-        made._record_era(era)
+        platform_store._record_era(era)
     for era in (4, 0):
         try:
-            made._record_era(era)
+            platform_store._record_era(era)
         except errors.PlatformUnavailable:
             continue
         raise AssertionError(era)
-    assert made.era == 5
+    assert platform_store.era == 5
 
 
-def test_condition_of_a_former_era_is_not_sent():
-    """A decision is written over one that this entry VM has not read."""
+def test_append_conditional_on_a_former_era_is_not_sent():
+    """Guards against overwriting a decision that has not been read."""
 
     async def main():
-        made = store.Store("127.0.0.1:1", era=2)
-        topic = store.KeyedTopic(made, "keyed.status")
-        former = positions.make_position(1, 5)
+        platform_store = store.Store("127.0.0.1:1", era=2)
+        topic = store.KeyedTopic(platform_store, "keyed.status")
+        former_position = positions.make_position(1, 5)
         try:
-            await topic.append([keyed_log.Record("a", b"x")], former)
+            await topic.append([keyed_log.Record("a", b"x")], former_position)
         except keyed_log.Conflict as fault:
             assert fault.end == positions.make_position(2, 0)
         else:
-            raise AssertionError("sent")
+            raise AssertionError("the append was not rejected")
 
     trio.run(main)
 
@@ -69,8 +69,11 @@
     )
 
 
-def test_held_endpoint_that_the_next_copy_lacks_stays_out():
-    """An endpoint that ended long ago is listed again, and gets work."""
+def test_held_endpoint_missing_from_the_next_backup_stays_out():
+    """Guards against requests to an endpoint that ended long ago.
+
+    It is in the first of two restored backups, and missing from the second.
+    """
     clock: typing.Any = clock_module.ManualClock()
     board = board_module.ForwardingBoard(name="vm", failure_domain="north")
     reader = registry.RegistryReader(
@@ -80,11 +83,11 @@
         heartbeat_ms=1_200.0,
         get_poll_wait_ms=lambda: 1_000.0,
     )
-    stays, left = (keyed_log.Record(name, b"x") for name in ("a", "b"))
-    reader.replace([stays, left])
+    kept, left = (keyed_log.Record(name, b"x") for name in ("a", "b"))
+    reader.replace([kept, left])
     reader.mark_current(0.0)
     reader.apply(keyed_log.Record("b", None))
-    for copy in ([stays, left], [stays]):
+    for copy in ([kept, left], [kept]):
         reader.begin_era()
         reader.replace(copy)
         assert set(board.endpoints) == {"a"}
@@ -99,7 +102,7 @@
     offsets=strategies.tuples(*[strategies.integers(0, 2**40 - 1)] * 2),
 )
 def test_positions_are_ordered_by_era_first(eras, offsets):
-    """A position of a lost history is taken for a later one."""
+    """Guards against a position of a lost history compared as a later one."""
     one, other = (
         positions.make_position(era, offset)
         for era, offset in zip(eras, offsets, strict=True)
--- a/tests/model/test_delegated_reads.py
+++ b/tests/model/test_delegated_reads.py
@@ -1,9 +1,10 @@
-"""Proofs taken from another entry VM, under any order of what can happen.
+"""Attestations of another entry VM under randomly scheduled events.
 
-The shipped controllers of two entry VMs run over a store, a network and
-clocks that a seeded schedule moves: records are written, polls begin and end,
-questions and answers are lost, late, doubled and overtaken, either side
-stands still or starts again. What one takes as proved must be so.
+The production controllers of two entry VMs run over a simulated store, network
+and clocks, driven by a seeded schedule: records are written, polls begin and
+end, queries and reports are lost, delayed, duplicated and reordered, and
+either side is suspended or restarted. Every attestation that is accepted must
+be true.
 """
 
 import random
@@ -21,28 +22,31 @@
 
 SEEDS = 1_500
 STEPS = 60
-STEP_MS = 100.0
-LATE_MS = 3_000.0
+MAX_STEP_MS = 100.0
+MAX_SUSPENSION_MS = 3_000.0
 
 
 @attrs.define
 class Node:
-    """One entry VM: its clock runs apart from true time by ``skew_ms``."""
+    """One entry VM, whose clock is ``skew_ms`` ahead of true time."""
 
     name: str
     peer: str
     skew_ms: float
-    world: "World"
+    simulation: "Simulation"
     position: int = 0
     current_as_of_ms: float = -1e9
-    polled_ms: float | None = None
+    poll_sent_ms: float | None = None
     handlers: dict = attrs.field(factory=dict)
     controller: typing.Any = None
 
     def start(self):
-        """Start, or start again and know nothing of before."""
-        self.handlers, self.polled_ms = {}, None
-        self.position, self.current_as_of_ms = len(self.world.written_ms), -1e9
+        """Start, or restart without any former state."""
+        self.handlers, self.poll_sent_ms = {}, None
+        self.position, self.current_as_of_ms = (
+            len(self.simulation.written_ms),
+            -1e9,
+        )
         self.poll()
         self.end_poll()
         board = board_module.ForwardingBoard(
@@ -53,7 +57,7 @@
         self.controller.add_topic("keys", node)
 
     def boot_ms(self):
-        return self.world.now_ms + self.skew_ms
+        return self.simulation.now_ms + self.skew_ms
 
     def add_handler(self, kind, handler):
         self.handlers[kind] = handler
@@ -62,7 +66,9 @@
         return [self.peer]
 
     def send(self, name, data):
-        self.world.under_way.append((self.world.now_ms, self.name, name, data))
+        self.simulation.in_transit.append(
+            (self.simulation.now_ms, self.name, name, data)
+        )
 
     def get_attestation(self):
         return attestation.Attestation(
@@ -87,53 +93,53 @@
         return True
 
     def notify_position(self, position, served):
-        """Nothing: polls come by themselves."""
+        """Ignore it: the schedule decides when to poll."""
 
     def confirm(self, attested):
         if attested.position != self.position:
             return
         true_ms = attested.as_of_ms - self.skew_ms
-        self.world.check(attested.position, true_ms)
+        self.simulation.check(attested.position, true_ms)
         self.current_as_of_ms = max(self.current_as_of_ms, attested.as_of_ms)
 
     def poll(self):
-        self.polled_ms = self.boot_ms()
+        self.poll_sent_ms = self.boot_ms()
 
     def end_poll(self):
-        if self.polled_ms is not None:
-            self.position = len(self.world.written_ms)
-            self.current_as_of_ms = self.polled_ms
-            self.polled_ms = None
+        if self.poll_sent_ms is not None:
+            self.position = len(self.simulation.written_ms)
+            self.current_as_of_ms = self.poll_sent_ms
+            self.poll_sent_ms = None
 
-    def take_datagram(self, data):
+    def receive(self, data):
         fields = load_report_messages.decode(data)
         self.handlers[fields[0]](self.peer, fields)
 
 
 @attrs.define
-class World:
-    """True time in ms, when records were written, and what is under way."""
+class Simulation:
+    """True time in ms, times of writes, and datagrams in transit."""
 
-    draw: random.Random
+    rng: random.Random
     now_ms: float = 0.0
     written_ms: list[float] = attrs.field(factory=list)
-    under_way: list = attrs.field(factory=list)
+    in_transit: list = attrs.field(factory=list)
     nodes: dict[str, Node] = attrs.field(factory=dict)
-    proofs: int = 0
+    confirmations: int = 0
 
     def check(self, position, true_ms):
-        """Nothing may have followed ``position`` at ``true_ms``."""
-        self.proofs += 1
-        followed = sum(at_ms <= true_ms for at_ms in self.written_ms)
-        assert followed <= position, (position, true_ms, self.written_ms)
+        """Assert that ``position`` was the end of the log at ``true_ms``."""
+        self.confirmations += 1
+        written = sum(at_ms <= true_ms for at_ms in self.written_ms)
+        assert written <= position, (position, true_ms, self.written_ms)
 
     def step(self):
-        """Do one of the things that can happen."""
-        self.now_ms += self.draw.random() * STEP_MS
-        node = self.nodes[self.draw.choice(("a", "b"))]
-        event = self.draw.choice(
-            ("write", "poll", "end", "ask", "ask", "deliver", "deliver")
-            + ("deliver", "news", "lose", "double", "stand still", "restart")
+        """Perform one random event."""
+        self.now_ms += self.rng.random() * MAX_STEP_MS
+        node = self.nodes[self.rng.choice(("a", "b"))]
+        event = self.rng.choice(
+            ("write", "poll", "end", "query", "query", "deliver", "deliver")
+            + ("deliver", "push", "lose", "duplicate", "suspend", "restart")
         )
         match event:
             case "write":
@@ -142,70 +148,70 @@
                 node.poll()
             case "end":
                 node.end_poll()
-            case "ask":
+            case "query":
                 node.controller._query(node.peer)
-            case "news":
+            case "push":
                 node.controller.push_updates("keys")
-            case "stand still":
-                self.now_ms += self.draw.random() * LATE_MS
+            case "suspend":
+                self.now_ms += self.rng.random() * MAX_SUSPENSION_MS
             case "restart":
-                if self.draw.random() < 0.2:
+                if self.rng.random() < 0.2:
                     node.start()
-            case _ if self.under_way:
+            case _ if self.in_transit:
                 self._move(event)
 
     def _move(self, event):
-        index = self.draw.randrange(len(self.under_way))
-        if event == "double":
-            self.under_way.append(self.under_way[index])
+        index = self.rng.randrange(len(self.in_transit))
+        if event == "duplicate":
+            self.in_transit.append(self.in_transit[index])
             return
-        _, _, name, data = self.under_way.pop(index)
+        _, _, name, data = self.in_transit.pop(index)
         if event == "deliver":
-            self.nodes[name].take_datagram(data)
+            self.nodes[name].receive(data)
 
 
-def play(seed):
-    """Play one schedule; return how many proofs were taken."""
-    draw = random.Random(seed)
-    world = World(draw)
+def run_schedule(seed):
+    """Run one schedule; return how many attestations were accepted."""
+    rng = random.Random(seed)
+    simulation = Simulation(rng)
     for name, peer in (("a", "b"), ("b", "a")):
-        skew_ms = draw.random() * 1e6
-        world.nodes[name] = Node(name, peer, skew_ms, world)
-    for node in world.nodes.values():
+        skew_ms = rng.random() * 1e6
+        simulation.nodes[name] = Node(name, peer, skew_ms, simulation)
+    for node in simulation.nodes.values():
         node.start()
     for _ in range(STEPS):
-        world.step()
-    return world.proofs
+        simulation.step()
+    return simulation.confirmations
 
 
-def is_caught():
-    """Whether some schedule shows a wrong proof."""
+def is_violation_found():
+    """Whether some schedule accepts an attestation that is not true."""
     for seed in range(SEEDS):
         try:
-            play(seed)
+            run_schedule(seed)
         except AssertionError:
             return True
     return False
 
 
-def test_no_schedule_proves_what_is_not_so():
-    """A key that was taken away would work for longer than its lease."""
-    assert sum(play(seed) for seed in range(SEEDS)) > SEEDS
+def test_no_schedule_confirms_a_stale_position():
+    """Guards against a revoked key that works for longer than its lease."""
+    assert sum(run_schedule(seed) for seed in range(SEEDS)) > SEEDS
 
 
-def test_guards_are_seen_to_fail():
-    """Each guard taken out lets some schedule prove what is not so."""
-    ask = freshness.PendingQuery
+def test_schedules_detect_removed_guards():
+    """Without each guard, some schedule accepts a false attestation."""
+    make_query = freshness.PendingQuery
 
-    def take_arrival(peer, sent_ms):
-        return ask(peer, sent_ms + LATE_MS)
+    def use_arrival_time(peer, sent_ms):
+        return make_query(peer, sent_ms + MAX_SUSPENSION_MS)
 
-    def forget_age(told):
-        return [told.position, 0, 0, told.start, told.end, [], True]
+    def omit_age(report):
+        return [report.position, 0, 0, report.start, report.end, [], True]
 
-    with mock.patch.object(freshness, "PendingQuery", take_arrival):
-        assert is_caught()
+    with mock.patch.object(freshness, "PendingQuery", use_arrival_time):
+        assert is_violation_found()
     with mock.patch.object(
-        freshness_messages.TopicReport, "to_fields", forget_age
+        freshness_messages.TopicReport, "to_fields", omit_age
     ):
-        assert is_caught()
+        assert is_violation_found()
--- a/tests/model/test_eras.py
+++ b/tests/model/test_eras.py
@@ -1,10 +1,10 @@
-"""Delegated reads of a store that comes back from copies of its data.
+"""Delegated reads of a store that is restored from backups.
 
-The shipped feeds and controllers of three entry VMs run in virtual time over
-a store, links and datagrams with seeded faults: keys are written and dropped,
-the store comes back from a copy some seconds old, entry VMs lose it for a
-while and datagrams are lost. What a feed proves must be so, and once the
-faults are over all have what the store has.
+The production feeds and controllers of three entry VMs run in virtual time on
+a simulated store and network with seeded faults: keys are written and removed,
+the store is restored from a backup some seconds old, entry VMs lose the store
+for a while, and datagrams are lost. Whatever a feed reports as current must be
+so, and after the last fault all entry VMs must converge to the store's state.
 """
 
 import functools
@@ -29,10 +29,10 @@
 NAMES = ("vm-a", "vm-b", "vm-c")
 SEEDS = 60
 FAULTS_S = 12.0
-# Until all follow the store after the last fault.
-SETTLED_S = 3.0
+# Time to converge after the last fault.
+SETTLE_S = 3.0
 POLL_MS = 1_000.0
-WAY_S = 0.003
+MAX_DELAY_S = 0.003
 TOPIC = "keys"
 
 
@@ -53,19 +53,19 @@
 
 
 @attrs.define(eq=False)
-class Store:
-    """A store with eras; ``ends`` are its positions and since when."""
+class FakeStore:
+    """A store with eras; ``ends`` lists its end positions and since when."""
 
     data: Data = attrs.field(factory=Data)
     era: int = 0
-    written: int = 0
+    write_count: int = 0
     copy: Data = attrs.field(factory=Data)
     changed: trio.Event = attrs.field(factory=trio.Event)
     ends: list[tuple[float, int]] = attrs.field(factory=list)
 
     def write(self, key: str, removed: bool) -> None:
-        self.written += 1
-        value = None if removed else b"%d" % self.written
+        self.write_count += 1
+        value = None if removed else b"%d" % self.write_count
         self.data.records.append((key, value))
         self.record_change()
 
@@ -87,29 +87,29 @@
         return self.era * positions.OFFSETS_PER_ERA + offset
 
     def find_end(self, at_ms: float) -> int:
-        """The position at a time."""
+        """Return the end position at a given time."""
         return max((e for t, e in self.ends if t <= at_ms), default=0)
 
 
 @attrs.define(eq=False)
-class Topic:
-    """What one entry VM gets from the store; ``cut`` leaves no answer."""
+class FakeTopic:
+    """One entry VM's access to the store; no answers while ``cut``."""
 
-    store: Store
+    store: FakeStore
     cut: bool = False
 
     async def read_newest(self) -> keyed_log.Batch:
-        await self.travel()
+        await self.delay()
         records = [
             keyed_log.Record(key, value, self.make_position(offset))
             for key, (offset, value) in self.store.data.list_newest().items()
         ]
         end = self.make_position(len(self.store.data.records))
-        await self.travel()
+        await self.delay()
         return keyed_log.Batch(records, end)
 
     async def read(self, start: int, wait_ms: float) -> keyed_log.Batch:
-        await self.travel()
+        await self.delay()
         offset, era = positions.get_offset(start), self.store.era
         with trio.move_on_after(wait_ms / 1000):
             while (
@@ -131,7 +131,7 @@
                 self.store.data.records[offset:]
             )
         ]
-        await self.travel()
+        await self.delay()
         return keyed_log.Batch(records, start + len(records))
 
     async def append(
@@ -139,25 +139,25 @@
         records: typing.Sequence[keyed_log.Record],
         end: int | None = None,
     ) -> int:
-        raise AssertionError("only the schedule writes")
+        raise AssertionError("only the schedule writes to the store")
 
     def make_position(self, offset: int) -> int:
         return positions.make_position(self.store.era, offset)
 
-    async def travel(self) -> None:
-        await trio.sleep(WAY_S)
+    async def delay(self) -> None:
+        await trio.sleep(MAX_DELAY_S)
         if self.cut:
             await trio.sleep(1.0)
             raise errors.PlatformUnavailable("store", "no answer")
 
 
 @attrs.define(eq=False)
-class Vm:
-    """One entry VM: its feed, and what it knows."""
+class EntryVm:
+    """One entry VM: its feed, and the records it has applied."""
 
     name: str
-    world: "World"
-    topic: Topic
+    simulation: "Simulation"
+    topic: FakeTopic
     known: dict[str, bytes | None] = attrs.field(factory=dict)
     handlers: dict = attrs.field(factory=dict)
     feed: typing.Any = None
@@ -195,7 +195,7 @@
         self.handlers[kind] = handler
 
     def send(self, name: str, data: bytes) -> None:
-        self.world.send(self.name, name, data)
+        self.simulation.send(self.name, name, data)
 
     def replace(self, records: list[keyed_log.Record]) -> None:
         self.known = {each.key: each.value for each in records}
@@ -207,105 +207,107 @@
             self.known[record.key] = record.value
 
     def mark_current(self, as_of_ms: float) -> None:
-        """Nothing may have followed the position at that time."""
-        end = self.world.store.find_end(as_of_ms)
+        """Check that the position was the end of the log at that time."""
+        end = self.simulation.store.find_end(as_of_ms)
         if end > self.feed.position:
-            # Raised here it would only start the task again.
-            self.world.wrong.append((as_of_ms, end, self.feed.position))
+            # An exception raised here would only restart the feed's task.
+            self.simulation.violations.append(
+                (as_of_ms, end, self.feed.position)
+            )
 
 
 @attrs.define(eq=False)
-class World:
+class Simulation:
     """The store, the entry VMs and the datagrams between them."""
 
-    draw: random.Random
+    rng: random.Random
     nursery: trio.Nursery
-    store: Store = attrs.field(factory=Store)
-    vms: dict[str, Vm] = attrs.field(factory=dict)
+    store: FakeStore = attrs.field(factory=FakeStore)
+    vms: dict[str, EntryVm] = attrs.field(factory=dict)
     lost: float = 0.0
-    wrong: list[tuple] = attrs.field(factory=list)
+    violations: list[tuple] = attrs.field(factory=list)
 
     def send(self, sender: str, name: str, data: bytes) -> None:
-        if self.draw.random() >= self.lost:
+        if self.rng.random() >= self.lost:
             self.nursery.start_soon(self.deliver, sender, name, data)
 
     async def deliver(self, sender: str, name: str, data: bytes) -> None:
-        await trio.sleep(WAY_S * self.draw.random())
+        await trio.sleep(MAX_DELAY_S * self.rng.random())
         fields = load_report_messages.decode(data)
         self.vms[name].handlers[fields[0]](sender, fields)
 
-    def do_something(self) -> None:
-        """One of the things that can happen."""
-        match self.draw.choice(
+    def perform_event(self) -> None:
+        """Perform one random event."""
+        match self.rng.choice(
             ("write",) * 6 + ("copy", "copy", "restore", "cut", "heal")
         ):
             case "write":
-                key = f"key-{self.draw.randrange(4)}"
-                self.store.write(key, self.draw.random() < 0.3)
+                key = f"key-{self.rng.randrange(4)}"
+                self.store.write(key, self.rng.random() < 0.3)
             case "copy":
                 self.store.save_copy()
             case "restore":
                 self.store.restore_copy()
             case "cut":
-                self.draw.choice(list(self.vms.values())).topic.cut = True
+                self.rng.choice(list(self.vms.values())).topic.cut = True
             case "heal":
                 for vm in self.vms.values():
                     vm.topic.cut = False
 
 
-async def play(seed: int) -> list:
-    """Play one schedule; return what was wrong, then or at its end."""
-    draw = random.Random(seed)
+async def run_schedule(seed: int) -> list:
+    """Run one schedule; return violations during it and at its end."""
+    rng = random.Random(seed)
     async with trio.open_nursery() as nursery:
-        world = World(draw, nursery, lost=draw.choice((0.0, 0.05)))
-        world.store.record_change()
+        simulation = Simulation(rng, nursery, lost=rng.choice((0.0, 0.05)))
+        simulation.store.record_change()
         for name in NAMES:
-            vm = Vm(name, world, Topic(world.store))
-            world.vms[name] = vm
-        for vm in world.vms.values():
+            vm = EntryVm(name, simulation, FakeTopic(simulation.store))
+            simulation.vms[name] = vm
+        for vm in simulation.vms.values():
             await vm.start(nursery)
         while trio.current_time() < FAULTS_S:
-            await trio.sleep(draw.choice((0.01, 0.1, 0.5)) * draw.random())
-            world.do_something()
-        world.lost = 0.0
-        for vm in world.vms.values():
+            await trio.sleep(rng.choice((0.01, 0.1, 0.5)) * rng.random())
+            simulation.perform_event()
+        simulation.lost = 0.0
+        for vm in simulation.vms.values():
             vm.topic.cut = False
-        await trio.sleep(SETTLED_S)
+        await trio.sleep(SETTLE_S)
         newest = {
             key: value
-            for key, (_, value) in world.store.data.list_newest().items()
+            for key, (_, value) in simulation.store.data.list_newest().items()
         }
         nursery.cancel_scope.cancel()
-    others = [v.known for v in world.vms.values() if v.known != newest]
-    return world.wrong + others
+    outdated = [v.known for v in simulation.vms.values() if v.known != newest]
+    return simulation.violations + outdated
 
 
-def run(seed: int) -> list:
+def run_in_virtual_time(seed: int) -> list:
     clock = trio.testing.MockClock(autojump_threshold=0)
-    return trio.run(play, seed, clock=clock)
+    return trio.run(run_schedule, seed, clock=clock)
 
 
-def is_caught() -> bool:
-    """Whether some schedule shows something wrong."""
-    return any(run(seed) for seed in range(SEEDS))
+def is_violation_found() -> bool:
+    """Whether some schedule shows a violation."""
+    return any(run_in_virtual_time(seed) for seed in range(SEEDS))
 
 
-def test_all_follow_the_store_after_it_came_back_from_copies():
-    """Lost keys go on working, and those that were written are unknown."""
+def test_entry_vms_converge_after_the_store_was_restored():
+    """Guards against lost keys that still work, and new ones unknown."""
     for seed in range(SEEDS):
-        assert not run(seed), seed
+        assert not run_in_virtual_time(seed), seed
 
 
-def test_guards_of_eras_are_seen_to_fail():
-    """Each guard taken out lets some schedule go wrong."""
+def test_schedules_detect_removed_guards_of_eras():
+    """Without each guard, some schedule shows a violation."""
 
-    def forget_era(era: int, offset: int) -> int:
+    def omit_era(era: int, offset: int) -> int:
         return offset
 
-    def take_for_same(one: int, other: int) -> bool:
+    def ignore_eras(one: int, other: int) -> bool:
         return True
 
-    with mock.patch.object(positions, "make_position", forget_era):
-        assert is_caught()
-    with mock.patch.object(positions, "is_same_era", take_for_same):
-        assert is_caught()
+    with mock.patch.object(positions, "make_position", omit_era):
+        assert is_violation_found()
+    with mock.patch.object(positions, "is_same_era", ignore_eras):
+        assert is_violation_found()
