--- a/bench/store_drill.py
+++ b/bench/store_drill.py
@@ -1,8 +1,9 @@
-"""What a store that comes back from a copy costs callers.
+"""The cost to callers when the store is restored from a backup.
 
-``./build.sh bench store_drill`` plays drills on loopback with three entry VMs,
-and prints the answers to a key in force, the slowest of them, and the calls to
-the store by cause, for stores that are away for different times.
+``./build.sh bench store_drill`` runs drills on loopback with three entry VMs,
+and prints the statuses of requests with a valid key, the slowest response to
+them in ms, and the calls to the store by cause, for outages of different
+length.
 """
 
 import fire
@@ -10,16 +11,18 @@
 
 from tests.common import store_drill
 
-AWAY_S = (0.0, 1.0, 2.5, 4.0, 6.0)
+OUTAGES_S = (0.0, 1.0, 2.5, 4.0, 6.0)
 
 
 def main() -> None:
-    """Print a row for each time away."""
+    """Print a row for each length of the outage."""
     print("away s  answers  slowest ms  calls")
-    for away_s in AWAY_S:
-        outcome = trio.run(store_drill.play, store_drill.Plan(away_s=away_s))
+    for outage_s in OUTAGES_S:
+        outcome = trio.run(
+            store_drill.run_drill, store_drill.Plan(outage_s=outage_s)
+        )
         print(
-            f"{away_s:6}  {dict(outcome.statuses)}"
+            f"{outage_s:6}  {dict(outcome.statuses)}"
             f"  {outcome.slowest_ms:.0f}  {dict(outcome.calls)}"
         )
 
--- a/tests/failures/test_forwarding_delegates.py
+++ b/tests/failures/test_forwarding_delegates.py
@@ -1,4 +1,4 @@
-"""Entry VMs that read the store for each other."""
+"""Delegated reads between the entry VMs of a failure domain."""
 
 import trio
 
@@ -10,8 +10,8 @@
 TABLE, ENDPOINTS = 0, 1
 
 
-class CutTopic:
-    """A topic that this entry VM cannot reach."""
+class UnreachableTopic:
+    """A topic whose calls all fail."""
 
     async def read_newest(self):
         raise errors.PlatformUnavailable("store", "cut off")
@@ -20,76 +20,80 @@
         raise errors.PlatformUnavailable("store", "cut off")
 
 
-def find_freshness(made, daemon):
-    return made.daemons[daemon].controllers[-1]
+def get_freshness_controller(deployment, daemon):
+    return deployment.daemons[daemon].controllers[-1]
 
 
-def has_delegate(made, daemon):
-    return find_freshness(made, daemon).has_delegate(feeds.DECLARATIONS)
+def has_delegate(deployment, daemon):
+    return get_freshness_controller(deployment, daemon).has_delegate(
+        feeds.DECLARATIONS
+    )
 
 
-async def wait_for_delegates(made):
-    """Wait until all but one entry VM rely on another; return that one."""
-    count = len(made.daemons)
-    await made.wait_for(
-        lambda: sum(has_delegate(made, n) for n in range(count)) == count - 1
+async def wait_for_delegates(deployment):
+    """Wait until all entry VMs but one have a delegate; return that one."""
+    count = len(deployment.daemons)
+    await deployment.wait_for(
+        lambda: (
+            sum(has_delegate(deployment, n) for n in range(count)) == count - 1
+        )
     )
     await trio.sleep(1.6)
-    (reader,) = [n for n in range(count) if not has_delegate(made, n)]
+    (reader,) = [n for n in range(count) if not has_delegate(deployment, n)]
     return reader
 
 
 def test_one_entry_vm_reads_the_store_for_its_failure_domain():
-    """The store turns calls away that ask for nothing new.
+    """Guards against four entry VMs making four times the calls of one.
 
-    Four entry VMs made four times the calls of one, though nothing changed.
+    The store rejects calls when there are too many, although nothing changed.
     """
 
     async def main():
         desk = backend.Backend("desk-0")
-        async with forwarding.open_forwarding(desk, daemons=4) as made:
-            await wait_for_delegates(made)
-            made.store.calls = 0
+        async with forwarding.open_forwarding(desk, daemons=4) as deployment:
+            await wait_for_delegates(deployment)
+            deployment.store.calls = 0
             await trio.sleep(3.0)
-            # One entry VM polls for the table every 1.5 s and for endpoints
-            # every 1.1 s; one call more for each poll that was under way.
-            assert made.store.calls <= 2 + 3 + 2
+            # One entry VM polls the table every 1.5 s and the endpoints every
+            # 1.1 s; plus one call for each poll that was in progress.
+            assert deployment.store.calls <= 2 + 3 + 2
             for number in range(4):
-                answer = await made.call("GET", "/look/", daemon=number)
+                answer = await deployment.call("GET", "/look/", daemon=number)
                 assert answer.status == 200
 
     trio.run(main)
 
 
-def test_changes_reach_those_who_do_not_read_at_once():
-    """A key that was taken away, and a server that left, are used on.
+def test_changes_reach_clients_at_once():
+    """Guards against the use of a revoked key and of a removed server.
 
-    The entry VM that serves them does not read the store itself.
+    Two of the entry VMs do not read the store themselves.
     """
 
     async def main():
         desks = [backend.Backend(f"desk-{number}") for number in range(2)]
-        async with forwarding.open_forwarding(*desks, daemons=3) as made:
-            await wait_for_delegates(made)
+        async with forwarding.open_forwarding(*desks, daemons=3) as deployment:
+            await wait_for_delegates(deployment)
             config = forwarding.make_config(2)
             config["tenants"][0]["apiKeys"] = []
-            made.store.put("keyed.op", "config", config)
-            made.store.put("keyed.servers", "desk-0", None)
+            deployment.store.put("keyed.op", "config", config)
+            deployment.store.put("keyed.servers", "desk-0", None)
             await trio.sleep(0.3)
             for number in range(3):
-                board = made.daemons[number].board
+                board = deployment.daemons[number].board
                 assert set(board.endpoints) == {"desk-1"}
-                answer = await made.call("GET", "/look/", daemon=number)
+                answer = await deployment.call("GET", "/look/", daemon=number)
                 assert answer.status == 401
 
     trio.run(main)
 
 
-def test_entry_vm_that_lost_the_store_serves_by_its_neighbours_proofs():
-    """Callers are turned away though their keys are known to be the newest.
+def test_entry_vm_without_the_store_serves_by_its_delegates_attestations():
+    """Guards against refusing callers although their keys are up to date.
 
-    One entry VM cannot reach the store, and its delegate can. Once a key is
-    taken away it is unknown there as well, as the delegate passes tables on.
+    One entry VM cannot reach the store, but its delegate can. A revoked key is
+    refused there as well, since the delegate passes on the new table.
     """
 
     async def main():
@@ -97,48 +101,53 @@
         lease_ms = 1_600
         async with forwarding.open_forwarding(
             desk, daemons=3, key_lease_ms=lease_ms
-        ) as made:
-            reader = await wait_for_delegates(made)
+        ) as deployment:
+            reader = await wait_for_delegates(deployment)
             cut = (reader + 1) % 3
-            feed = made.find_controller(TABLE, cut)
-            feed.topic = CutTopic()
+            feed = deployment.find_controller(TABLE, cut)
+            feed.topic = UnreachableTopic()
             await trio.sleep(2.0 * lease_ms / 1000)
-            assert await made.ask_ready(cut) == 200
-            assert (await made.call("GET", "/look/", daemon=cut)).status == 200
+            assert await deployment.ask_ready(cut) == 200
+            assert (
+                await deployment.call("GET", "/look/", daemon=cut)
+            ).status == 200
             config = forwarding.make_config(2)
             config["tenants"][0]["apiKeys"] = []
-            made.store.put("keyed.op", "config", config)
+            deployment.store.put("keyed.op", "config", config)
             await trio.sleep(lease_ms / 1000)
-            answer = await made.call("GET", "/look/", daemon=cut)
+            answer = await deployment.call("GET", "/look/", daemon=cut)
             assert answer.status == 401
 
     trio.run(main)
 
 
-def test_keys_stay_proved_when_the_reader_dies():
-    """Callers are refused since the one that read for all has gone.
+def test_keys_stay_valid_when_the_delegate_fails():
+    """Guards against refusing callers after the delegate has failed.
 
-    Its neighbours notice within a second that it does not answer, and read
-    for themselves until they have agreed on another.
+    Its clients notice within a second that it does not answer, and read the
+    store themselves until they have agreed on another delegate.
     """
 
     async def main():
         desk = backend.Backend("desk-0")
         async with forwarding.open_forwarding(
             desk, daemons=3, key_lease_ms=4_000
-        ) as made:
-            reader = await wait_for_delegates(made)
-            await find_freshness(made, reader).reporter.close()
+        ) as deployment:
+            reader = await wait_for_delegates(deployment)
+            await get_freshness_controller(deployment, reader).reporter.close()
             others = [n for n in range(3) if n != reader]
             for _ in range(60):
                 await trio.sleep(0.1)
                 for number in others:
-                    daemon = made.daemons[number]
+                    daemon = deployment.daemons[number]
                     boot_ms = daemon.clock.boot_ms()
                     assert daemon.board.is_key_lease_valid(boot_ms)
                     assert not daemon.board.store_failing
-            chosen = {find_freshness(made, n).choice.delegate for n in others}
-            names = {made.daemons[n].board.name for n in others}
+            chosen = {
+                get_freshness_controller(deployment, n).choice.delegate
+                for n in others
+            }
+            names = {deployment.daemons[n].board.name for n in others}
             assert chosen - {""} <= names
 
     trio.run(main)
--- a/tests/failures/test_forwarding_store.py
+++ b/tests/failures/test_forwarding_store.py
@@ -1,4 +1,4 @@
-"""An entry VM while the platform's store fails, changes or forgets."""
+"""An entry VM while the platform's store fails, changes or loses history."""
 
 import trio
 
@@ -6,7 +6,7 @@
 from tests.common import forwarding
 from tests.standins import backend
 
-# Short, so that entries run out within a test.
+# Short, so that entries expire within a test.
 HEARTBEAT_MS = 500
 
 
@@ -18,182 +18,194 @@
     return report_channels.Peer(name, ("127.0.0.1", 9), "x", last_seen_ms)
 
 
-def test_nothing_is_known_before_the_first_configuration():
-    """An entry VM starts before the operator has written anything.
+def test_requests_are_refused_before_the_first_configuration():
+    """Guards against a wrong refusal before the operator's first write.
 
-    It is not ready and refuses with a time to come back; a 404 or 401 would
-    be untrue, since the route and the key may come at any moment.
+    The entry VM has to be not ready and refuse with a retry-after. A 404 or
+    401 would be wrong, since the route and the key may be added at any moment.
     """
 
     async def main():
         (desk,) = make_desks(1)
-        async with forwarding.open_forwarding(desk) as made:
-            made.store.topics["keyed.op"].newest.clear()
-            await made.start_daemon_unready()
-            answer = await made.call("GET", "/look/", daemon=1)
-            ready = await made.ask_ready(1)
+        async with forwarding.open_forwarding(desk) as deployment:
+            deployment.store.topics["keyed.op"].newest.clear()
+            await deployment.start_daemon_unready()
+            answer = await deployment.call("GET", "/look/", daemon=1)
+            ready = await deployment.ask_ready(1)
             assert (answer.status, ready) == (503, 503)
             assert float(answer.headers["retry-after"]) > 0
-            made.store.put("keyed.op", "config", forwarding.make_config(2))
-            await made.wait_for(
-                lambda: made.daemons[1].board.state.value == "ready"
+            deployment.store.put(
+                "keyed.op", "config", forwarding.make_config(2)
             )
-            assert await made.ask_ready(1) == 200
-            answer = await made.call("GET", "/look/", daemon=1)
+            await deployment.wait_for(
+                lambda: deployment.daemons[1].board.state.value == "ready"
+            )
+            assert await deployment.ask_ready(1) == 200
+            answer = await deployment.call("GET", "/look/", daemon=1)
             assert answer.status == 200
 
     trio.run(main)
 
 
-def test_key_stops_working_when_it_is_taken_away():
-    """The operator takes a key away; its holder goes on sending."""
+def test_revoked_key_stops_working():
+    """Guards against a revoked key whose requests are still served."""
 
     async def main():
         (desk,) = make_desks(1)
-        async with forwarding.open_forwarding(desk) as made:
-            assert (await made.call("GET", "/look/")).status == 200
+        async with forwarding.open_forwarding(desk) as deployment:
+            assert (await deployment.call("GET", "/look/")).status == 200
             config = forwarding.make_config(2)
             config["tenants"][0]["apiKeys"] = []
-            made.store.put("keyed.op", "config", config)
-            await made.wait_for(lambda: made.find_table().revision == 2)
-            assert (await made.call("GET", "/look/")).status == 401
+            deployment.store.put("keyed.op", "config", config)
+            await deployment.wait_for(
+                lambda: deployment.find_table().revision == 2
+            )
+            assert (await deployment.call("GET", "/look/")).status == 401
 
     trio.run(main)
 
 
-def test_keys_lapse_when_the_store_is_silent():
-    """The store falls silent, so that a taken key would not be noticed.
+def test_keys_expire_when_the_store_is_silent():
+    """Guards against a revoked key that works while the store is silent.
 
-    Before the bound is up requests with a key are refused, not run; those
-    on anonymous routes go on. Once the store answers keys work again.
+    Before the bound is reached, requests with a key are refused and not run;
+    those on anonymous routes are still served. Keys work again as soon as the
+    store answers.
     """
 
     async def main():
         (desk,) = make_desks(1)
         async with forwarding.open_forwarding(
             desk, key_lease_ms=1_600
-        ) as made:
-            made.store.silent = True
-            board, clock = made.daemon.board, made.daemon.clock
-            await made.wait_for(
+        ) as deployment:
+            deployment.store.silent = True
+            board, clock = deployment.daemon.board, deployment.daemon.clock
+            await deployment.wait_for(
                 lambda: not board.is_key_lease_valid(clock.boot_ms())
             )
-            keyed = await made.call("GET", "/look/")
-            unknown = await made.call("GET", "/look/", carawayward_key="x")
-            no_route = await made.call("GET", "/nowhere/")
-            anonymous = await made.call("GET", "/open/")
+            keyed = await deployment.call("GET", "/look/")
+            unknown = await deployment.call(
+                "GET", "/look/", carawayward_key="x"
+            )
+            no_route = await deployment.call("GET", "/nowhere/")
+            anonymous = await deployment.call("GET", "/open/")
             assert [keyed.status, unknown.status, no_route.status] == [503] * 3
             assert float(keyed.headers["retry-after"]) > 0
             assert anonymous.status == 200
-            made.store.silent = False
-            await made.wait_for(
+            deployment.store.silent = False
+            await deployment.wait_for(
                 lambda: board.is_key_lease_valid(clock.boot_ms())
             )
-            assert (await made.call("GET", "/look/")).status == 200
+            assert (await deployment.call("GET", "/look/")).status == 200
 
     trio.run(main)
 
 
-def test_stale_entry_vm_sends_callers_to_the_others():
-    """An entry VM is cut off from the store, and summaries come 2 s late.
+def test_stale_entry_vm_redirects_callers_to_other_vms():
+    """Guards against summaries 2 s late when one entry VM lost the store.
 
-    The others serve. Cause: callers are told to come back when the store may
-    have returned, over connections that lead to the same entry VM, though any
-    other would have served them at once.
+    The other entry VMs still serve. Callers were told to retry when the store
+    might have recovered, over connections that lead to the same entry VM,
+    although any other would have served them at once.
     """
 
     async def main():
         (desk,) = make_desks(1)
         async with forwarding.open_forwarding(
             desk, key_lease_ms=1_600
-        ) as made:
-            board, clock = made.daemon.board, made.daemon.clock
-            peers = made.find_hints().peers
+        ) as deployment:
+            board, clock = deployment.daemon.board, deployment.daemon.clock
+            peers = deployment.find_hints().peers
             for name in ("vm-b", "vm-c"):
                 peers[name] = make_peer(name, clock.now_ms())
-            assert await made.ask_ready(0) == 200
-            made.store.silent = True
-            await made.wait_for(
+            assert await deployment.ask_ready(0) == 200
+            deployment.store.silent = True
+            await deployment.wait_for(
                 lambda: not board.is_key_lease_valid(clock.boot_ms())
             )
-            answer = await made.call("GET", "/look/")
+            answer = await deployment.call("GET", "/look/")
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) < 0.1
             assert answer.headers["connection"] == "close"
-            assert await made.ask_ready(0) == 503
+            assert await deployment.ask_ready(0) == 503
             for peer in peers.values():
                 peer.last_seen_ms, peer.stale = clock.now_ms(), True
-            answer = await made.call("GET", "/look/")
+            answer = await deployment.call("GET", "/look/")
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) >= 1.0
-            assert await made.ask_ready(0) == 200
+            assert await deployment.ask_ready(0) == 200
 
     trio.run(main)
 
 
-def test_callers_are_sent_away_before_keys_lapse():
-    """A failure domain is cut off; for two seconds its callers are refused.
+def test_callers_are_redirected_before_keys_expire():
+    """Guards against callers refused for 2 s as a failure domain is cut off.
 
-    A balancer moves callers two seconds after an entry VM says that it is not
-    ready, and that was said only when the keys had lapsed. Until then those
-    that are still here are served.
+    A load balancer moves callers two seconds after an entry VM reports that it
+    is not ready, which was reported only when the keys had expired. Until then
+    the remaining callers are served.
     """
 
     async def main():
         (desk,) = make_desks(1)
         async with forwarding.open_forwarding(
             desk, key_lease_ms=8_000
-        ) as made:
-            board, clock = made.daemon.board, made.daemon.clock
-            peers = made.find_hints().peers
+        ) as deployment:
+            board, clock = deployment.daemon.board, deployment.daemon.clock
+            peers = deployment.find_hints().peers
             peers["vm-b"] = make_peer("vm-b", clock.now_ms())
-            made.store.silent = True
-            await made.wait_for(lambda: board.store_failing)
+            deployment.store.silent = True
+            await deployment.wait_for(lambda: board.store_failing)
             assert board.is_key_lease_valid(clock.boot_ms())
-            assert await made.ask_ready(0) == 503
-            answer = await made.call("GET", "/look/")
+            assert await deployment.ask_ready(0) == 503
+            answer = await deployment.call("GET", "/look/")
             assert answer.status == 200
             assert answer.headers["connection"] == "close"
-            made.store.silent = False
-            await made.wait_for(lambda: not board.store_failing)
-            assert await made.ask_ready(0) == 200
+            deployment.store.silent = False
+            await deployment.wait_for(lambda: not board.store_failing)
+            assert await deployment.ask_ready(0) == 200
 
     trio.run(main)
 
 
-def test_lease_is_checked_again_when_the_request_goes_out():
-    """A request waits for its connection while the lease runs out.
+def test_lease_is_checked_again_when_the_request_is_sent():
+    """Guards against a request sent after the lease on its key has expired.
 
-    It goes to no other server either, and none is held to be out of reach.
+    The lease expires while the request waits for its connection. The request
+    is not sent to another server either, and no server counts as unreachable.
     """
 
     async def main():
         desks = make_desks(3)
-        async with forwarding.open_forwarding(*desks) as made:
-            forwarder = made.daemon.app.forwarder
+        async with forwarding.open_forwarding(*desks) as deployment:
+            forwarder = deployment.daemon.app.forwarder
             forwarder.may_send = lambda work: False
-            answer = await made.call("POST", "/log/")
+            answer = await deployment.call("POST", "/log/")
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) >= 1.0
             assert not any(desk.runs for desk in desks)
             assert not forwarder.fleet.list_quarantined()
-            counted = made.daemon.app.measures.counters
+            counted = deployment.daemon.app.measures.counters
             assert counted["attempts", (("outcome", "withheld"),)] == 1.0
 
     trio.run(main)
 
 
-def test_older_and_unreadable_configurations_change_nothing():
-    """A half-written and an older configuration are in the topic.
+def test_older_and_unreadable_configurations_are_ignored():
+    """Guards against an incomplete or older configuration put into force.
 
-    The one in force stays; nothing is ever taken back.
+    The configuration in force stays, and is never replaced by an older one.
     """
 
     async def main():
         (desk,) = make_desks(1)
-        async with forwarding.open_forwarding(desk) as made:
-            made.store.put("keyed.op", "config", forwarding.make_config(5))
-            await made.wait_for(lambda: made.find_table().revision == 5)
+        async with forwarding.open_forwarding(desk) as deployment:
+            deployment.store.put(
+                "keyed.op", "config", forwarding.make_config(5)
+            )
+            await deployment.wait_for(
+                lambda: deployment.find_table().revision == 5
+            )
             for broken in (
                 {"version": 6},
                 {**forwarding.make_config(7), "routes": [{"name": 3}]},
@@ -201,172 +213,186 @@
                 "text",
                 {**forwarding.make_config(3), "routes": []},
             ):
-                made.store.put("keyed.op", "config", broken)
-            end = made.store.topic("keyed.op").end
-            feed = made.find_controller(0)
-            await made.wait_for(lambda: feed.position == end)
-            assert made.find_table().revision == 5
-            assert (await made.call("GET", "/look/")).status == 200
+                deployment.store.put("keyed.op", "config", broken)
+            end = deployment.store.topic("keyed.op").end
+            feed = deployment.find_controller(0)
+            await deployment.wait_for(lambda: feed.position == end)
+            assert deployment.find_table().revision == 5
+            assert (await deployment.call("GET", "/look/")).status == 200
 
     trio.run(main)
 
 
-def test_forgotten_history_is_made_up_by_the_newest_records():
-    """The store drops its history while an entry VM is cut off from it."""
+def test_discarded_history_is_recovered_from_the_newest_records():
+    """Guards against missed changes when the store discards its history.
+
+    The entry VM is cut off from the store meanwhile.
+    """
 
     async def main():
         desks = make_desks()
-        async with forwarding.open_forwarding(*desks) as made:
-            made.store.refusing = 503
-            feed = made.find_controller(0)
-            await made.wait_for(lambda: feed.failing)
-            made.store.put("keyed.op", "config", forwarding.make_config(2))
-            made.store.put("keyed.servers", "desk-0", None)
+        async with forwarding.open_forwarding(*desks) as deployment:
+            deployment.store.refusing = 503
+            feed = deployment.find_controller(0)
+            await deployment.wait_for(lambda: feed.failing)
+            deployment.store.put(
+                "keyed.op", "config", forwarding.make_config(2)
+            )
+            deployment.store.put("keyed.servers", "desk-0", None)
             for topic in ("keyed.op", "keyed.servers"):
-                made.store.topic(topic).forget()
-            made.store.refusing = 0
-            board = made.daemon.board
-            await made.wait_for(lambda: made.find_table().revision == 2)
-            await made.wait_for(lambda: "desk-0" not in board.endpoints)
+                deployment.store.topic(topic).forget()
+            deployment.store.refusing = 0
+            board = deployment.daemon.board
+            await deployment.wait_for(
+                lambda: deployment.find_table().revision == 2
+            )
+            await deployment.wait_for(lambda: "desk-0" not in board.endpoints)
             for _ in range(3):
-                assert (await made.call("POST", "/log/")).status == 200
+                assert (await deployment.call("POST", "/log/")).status == 200
         assert not desks[0].runs
 
     trio.run(main)
 
 
-def test_leaving_server_gets_no_new_work():
-    """A server says that it drains, another one's entry is taken out."""
+def test_leaving_server_gets_no_new_requests():
+    """Guards against requests to a draining server and to a removed one."""
 
     async def main():
         desks = make_desks(3)
-        async with forwarding.open_forwarding(*desks) as made:
-            made.register(desks[0], state="draining", sequence=2)
-            made.store.put("keyed.servers", "desk-1", None)
-            board = made.daemon.board
-            await made.wait_for(lambda: board.endpoints["desk-0"].leaving)
-            await made.wait_for(lambda: "desk-1" not in board.endpoints)
+        async with forwarding.open_forwarding(*desks) as deployment:
+            deployment.register(desks[0], state="draining", sequence=2)
+            deployment.store.put("keyed.servers", "desk-1", None)
+            board = deployment.daemon.board
+            await deployment.wait_for(
+                lambda: board.endpoints["desk-0"].leaving
+            )
+            await deployment.wait_for(lambda: "desk-1" not in board.endpoints)
             for _ in range(6):
-                assert (await made.call("POST", "/log/")).status == 200
+                assert (await deployment.call("POST", "/log/")).status == 200
         assert [len(desk.runs) for desk in desks] == [0, 0, 6]
 
     trio.run(main)
 
 
-def test_leaving_server_is_noticed_though_the_store_wakes_no_poll():
-    """The store drops its history just as a server says that it leaves.
+def test_leaving_server_is_noticed_when_the_store_wakes_no_poll():
+    """Guards against late detection of a leaving server.
 
-    Polls that wait hear nothing of it. With polls of 5 s, requests reached
-    the server 2.7 s after it had said so, where 2 s are allowed.
+    The store discards its history just as the server announces that it leaves,
+    and waiting polls are not woken. With polls of 5 s, requests reached the
+    server 2.7 s after the announcement, where 2 s are allowed.
     """
 
     async def main():
         desks = make_desks()
-        async with forwarding.open_forwarding(*desks) as made:
+        async with forwarding.open_forwarding(*desks) as deployment:
             await trio.sleep(0.2)
-            made.store.deaf = True
-            made.register(desks[0], state="draining", sequence=2)
-            made.store.topic("keyed.servers").forget()
-            drain_s = made.daemon.board.bounds.drain_ms / 1000
+            deployment.store.deaf = True
+            deployment.register(desks[0], state="draining", sequence=2)
+            deployment.store.topic("keyed.servers").forget()
+            drain_s = deployment.daemon.board.bounds.drain_ms / 1000
             await trio.sleep(0.8 * drain_s)
             for _ in range(4):
-                assert (await made.call("POST", "/log/")).status == 200
+                assert (await deployment.call("POST", "/log/")).status == 200
         assert not desks[0].runs
 
     trio.run(main)
 
 
-def test_entries_that_lapse_while_the_store_is_away_are_waited_for():
-    """The store is away, and the entries of living servers run out.
+def test_entries_that_expire_in_an_outage_get_a_grace_period():
+    """Guards against an empty pool after an outage of the store.
 
-    Taken as gone at its return they would leave the pool empty; their
-    servers write them again within two seconds. One that does not has gone.
+    Entries of live servers expire in the outage and are written again within
+    two seconds of the recovery. An entry that is not has to be dropped.
     """
 
     async def main():
         desks = make_desks()
         async with forwarding.open_forwarding(
             *desks, heartbeat_ms=HEARTBEAT_MS
-        ) as made:
-            feed = made.find_controller(0)
-            made.store.refusing = 503
-            await made.wait_for(lambda: feed.failing)
+        ) as deployment:
+            feed = deployment.find_controller(0)
+            deployment.store.refusing = 503
+            await deployment.wait_for(lambda: feed.failing)
             await trio.sleep(4 * HEARTBEAT_MS / 1000)
             for desk in desks:
-                made.store.put("keyed.servers", desk.name, None)
-            made.store.refusing = 0
-            await made.wait_for(lambda: not feed.failing)
-            assert (await made.call("POST", "/log/")).status == 200
-            made.register(desks[0], sequence=2)
-            board = made.daemon.board
-            await made.wait_for(lambda: "desk-1" not in board.endpoints)
+                deployment.store.put("keyed.servers", desk.name, None)
+            deployment.store.refusing = 0
+            await deployment.wait_for(lambda: not feed.failing)
+            assert (await deployment.call("POST", "/log/")).status == 200
+            deployment.register(desks[0], sequence=2)
+            board = deployment.daemon.board
+            await deployment.wait_for(lambda: "desk-1" not in board.endpoints)
             assert "desk-0" in board.endpoints
 
     trio.run(main)
 
 
-def test_unreadable_entry_names_no_server_and_spares_the_others():
-    """Another program has written junk under some servers' names."""
+def test_unreadable_entries_are_ignored_and_others_kept():
+    """Guards against junk records affecting the entries of other servers."""
 
     async def main():
         desks = make_desks(3)
-        async with forwarding.open_forwarding(*desks) as made:
-            made.register(desks[0], state="dancing")
-            made.register(desks[1], address=17)
-            made.store.put("keyed.servers", "ghost", {"service": "desk"})
-            made.store.put("keyed.servers", "odd", "no object")
-            board = made.daemon.board
-            await made.wait_for(lambda: set(board.endpoints) == {"desk-2"})
+        async with forwarding.open_forwarding(*desks) as deployment:
+            deployment.register(desks[0], state="dancing")
+            deployment.register(desks[1], address=17)
+            deployment.store.put("keyed.servers", "ghost", {"service": "desk"})
+            deployment.store.put("keyed.servers", "odd", "no object")
+            board = deployment.daemon.board
+            await deployment.wait_for(
+                lambda: set(board.endpoints) == {"desk-2"}
+            )
             for _ in range(3):
-                assert (await made.call("POST", "/log/")).status == 200
+                assert (await deployment.call("POST", "/log/")).status == 200
         assert len(desks[2].runs) == 3
 
     trio.run(main)
 
 
-def test_entry_without_time_of_birth_is_used():
-    """Older servers do not say when they started."""
+def test_entry_without_start_time_is_used():
+    """Guards against ignoring older servers, which omit their start time."""
 
     async def main():
         (desk,) = make_desks(1)
-        async with forwarding.open_forwarding(desk) as made:
-            made.register(desk, born=None, sequence=2)
-            board = made.daemon.board
-            await made.wait_for(lambda: board.endpoints["desk-0"].born is None)
-            assert (await made.call("POST", "/log/")).status == 200
+        async with forwarding.open_forwarding(desk) as deployment:
+            deployment.register(desk, born=None, sequence=2)
+            board = deployment.daemon.board
+            await deployment.wait_for(
+                lambda: board.endpoints["desk-0"].born is None
+            )
+            assert (await deployment.call("POST", "/log/")).status == 200
 
     trio.run(main)
 
 
-def test_server_that_starts_again_under_its_name_is_another_one():
-    """A server crashed three times in a row and was left out.
+def test_restarted_server_starts_with_a_clean_record():
+    """Guards against excluding a restarted server for its former crashes.
 
-    It starts again under the same name and address; what was learned of
-    the one before must not keep it out.
+    It starts again under the same name and address after three crashes.
     """
 
     async def main():
         (desk,) = make_desks(1)
-        async with forwarding.open_forwarding(desk) as made:
-            fleet = made.daemon.app.forwarder.fleet
-            assert (await made.call("POST", "/log/")).status == 200
+        async with forwarding.open_forwarding(desk) as deployment:
+            fleet = deployment.daemon.app.forwarder.fleet
+            assert (await deployment.call("POST", "/log/")).status == 200
             before = fleet.places["desk-0"].view
-            made.register(desk, born=1_700_000_009_000, sequence=1)
-            board = made.daemon.board
-            await made.wait_for(
+            deployment.register(desk, born=1_700_000_009_000, sequence=1)
+            board = deployment.daemon.board
+            await deployment.wait_for(
                 lambda: board.endpoints["desk-0"].born == 1_700_000_009_000
             )
-            assert (await made.call("POST", "/log/")).status == 200
+            assert (await deployment.call("POST", "/log/")).status == 200
             assert fleet.places["desk-0"].view is not before
 
     trio.run(main)
 
 
-def test_stop_serves_what_it_took_and_turns_late_requests_away():
-    """An entry VM is told to stop while a stream runs.
+def test_shutdown_finishes_accepted_requests_and_refuses_late_ones():
+    """Guards against a stream that is cut off as its entry VM shuts down.
 
-    It is not ready at once, tells callers to close, finishes the stream,
-    and refuses what comes after the balancer had time to notice.
+    The entry VM reports at once that it is not ready, asks callers to close
+    their connections, finishes the stream, and refuses requests that arrive
+    after the load balancer had time to notice.
     """
 
     async def main():
@@ -378,26 +404,28 @@
             pause_ms=70.0,
         )
         desk = backend.Backend("desk-0")
-        async with forwarding.open_forwarding(engine, desk) as made:
+        async with forwarding.open_forwarding(engine, desk) as deployment:
             bodies: list[bytes] = []
             late = []
 
             async def stream():
-                bodies.append((await made.ask_engine()).body)
+                bodies.append((await deployment.ask_engine()).body)
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(stream)
-                await made.wait_for(lambda: bool(engine.runs))
-                made.stops[0].set()
-                await made.wait_for(
-                    lambda: made.daemon.board.state.value == "leaving"
+                await deployment.wait_for(lambda: bool(engine.runs))
+                deployment.stops[0].set()
+                await deployment.wait_for(
+                    lambda: deployment.daemon.board.state.value == "leaving"
+                )
+                assert await deployment.ask_ready(0) == 503
+                early_answer = await deployment.call("GET", "/look/")
+                await deployment.wait_for(
+                    lambda: deployment.daemon.board.refusing
                 )
-                assert await made.ask_ready(0) == 503
-                early = await made.call("GET", "/look/")
-                await made.wait_for(lambda: made.daemon.board.refusing)
-                late.append(await made.call("GET", "/look/"))
-        assert early.status == 200
-        assert early.headers["connection"] == "close"
+                late.append(await deployment.call("GET", "/look/"))
+        assert early_answer.status == 200
+        assert early_answer.headers["connection"] == "close"
         assert late[0].status == 503
         assert forwarding.read_numbers(bodies[0]) == list(range(1, 41))
 
--- a/tests/failures/test_forwarding_store_drills.py
+++ b/tests/failures/test_forwarding_store_drills.py
@@ -1,4 +1,4 @@
-"""Seeded drills: entry VMs, servers and callers while the store returns."""
+"""Seeded drills: restores of the store while entry VMs serve callers."""
 
 import random
 
@@ -10,33 +10,39 @@
 
 
 def draw_plan(seed):
-    """A drill in which the store is back before the keys' lease is over."""
-    draw = random.Random(seed)
+    """Draw a drill in which the store recovers before the keys' lease ends."""
+    rng = random.Random(seed)
     return store_drill.Plan(
-        copied_s=draw.uniform(0.0, 4.0),
-        away_s=draw.choice((0.0, 0.3, 1.0, 1.5)) * draw.random(),
-        written_s=draw.uniform(0.0, 2.0),
-        returns=draw.choice((1, 1, 2)),
+        backup_age_s=rng.uniform(0.0, 4.0),
+        outage_s=rng.choice((0.0, 0.3, 1.0, 1.5)) * rng.random(),
+        rewrite_delay_s=rng.uniform(0.0, 2.0),
+        restores=rng.choice((1, 1, 2)),
     )
 
 
 def find_violations(outcome):
-    """What callers were promised and did not get."""
+    """List the guarantees to callers that were violated."""
     found = []
-    if set(outcome.revoked) - {401, 503}:
-        found.append(f"key taken away: {outcome.revoked}")
-    if outcome.left_runs:
-        found.append(f"{outcome.left_runs} runs on a server that had left")
+    if set(outcome.revoked_statuses) - {401, 503}:
+        found.append(
+            f"unexpected statuses, revoked key: {outcome.revoked_statuses}"
+        )
+    if outcome.removed_server_runs:
+        found.append(f"{outcome.removed_server_runs} runs on a removed server")
     if set(outcome.statuses) - {200}:
-        found.append(f"key in force: {outcome.statuses}")
+        found.append(f"unexpected statuses, valid key: {outcome.statuses}")
     return found
 
 
-def play(seed):
-    return find_violations(trio.run(store_drill.play, draw_plan(seed)))
+def find_drill_violations(seed):
+    return find_violations(trio.run(store_drill.run_drill, draw_plan(seed)))
 
 
-def test_drill_of_the_store_keeps_what_callers_were_promised():
-    """Keys taken away work again, servers that left get work, calls fail."""
+def test_restore_of_the_store_keeps_guarantees_to_callers():
+    """Guards against faults after the store was restored from a backup.
+
+    These are revoked keys that work again, requests to removed servers, and
+    failed requests.
+    """
     for seed in range(SEEDS):
-        assert not play(seed), seed
+        assert not find_drill_violations(seed), seed
