--- a/src/carawayward/forwarding/app.py
+++ b/src/carawayward/forwarding/app.py
@@ -16,8 +16,8 @@
 from carawayward import events
 from carawayward.forwarding import board as board_module
 from carawayward.forwarding import exchange
-from carawayward.forwarding import facts
 from carawayward.forwarding import measures as measures_module
+from carawayward.forwarding import message_types
 from carawayward.forwarding import readiness as readiness_module
 from carawayward.forwarding import replies
 from carawayward.forwarding import table as table_module
@@ -59,7 +59,7 @@
     begun: bool = False
     finished: bool = False
 
-    async def begin(self, status: int, headers: facts.Headers) -> None:
+    async def begin(self, status: int, headers: message_types.Headers) -> None:
         """Send status and headers."""
         self.begun = True
         if self.redirects_callers():
@@ -93,7 +93,7 @@
 
     board: board_module.ForwardingBoard
     clock: clock_module.Clock
-    dialect: facts.Dialect
+    dialect: message_types.Dialect
     forwarder: exchange.Forwarder
     readiness: readiness_module.Readiness
     measures: measures_module.Measures
@@ -164,7 +164,7 @@
             wait_ms = min(wait_ms, known.deadline_ms)
         return work_items.Work(
             request=request,
-            facts=known,
+            metadata=known,
             route=route,
             service=choose_service(route, known),
             table=table,
@@ -178,7 +178,7 @@
         self,
         table: table_module.RoutingTable,
         route: table_module.Route,
-        known: facts.RequestFacts,
+        known: message_types.RequestMetadata,
     ) -> str:
         if not table.needs_key(route):
             return ""
@@ -210,14 +210,14 @@
 
 
 def choose_service(
-    route: table_module.Route, known: facts.RequestFacts
+    route: table_module.Route, known: message_types.RequestMetadata
 ) -> str:
     """The service for a request; a session stays with one."""
     key = placement.hash_key(known.session or known.request_id)
     return route.choose_service(key / 2.0**64)
 
 
-def check_framing(headers: facts.Headers) -> None:
+def check_framing(headers: message_types.Headers) -> None:
     """Refuse a request whose end two readers may see in two places.
 
     A second request hidden behind the end that an endpoint sees would run
--- a/src/carawayward/forwarding/assembly.py
+++ b/src/carawayward/forwarding/assembly.py
@@ -45,7 +45,7 @@
         ports.members,
         settings.listen.peers,
         fleet.loads,
-        fleet.find_memory,
+        fleet.find_cache_tokens,
     )
     fleet.cold_starts.list_members = reporter.list_domain_members
     freshness = freshness_module.FreshnessController(board, clock, reporter)
@@ -92,7 +92,11 @@
         # was proved when the request came, and as long as the run had lasted
         # nothing would have stopped it either. In a cut failure domain 13
         # requests failed in 6 s that had lost their first engine to the cut.
-        return not work.customer or work.ran or readiness.is_fresh()
+        return (
+            not work.customer
+            or work.earlier_may_have_run
+            or readiness.is_fresh()
+        )
 
     forwarder = exchange.Forwarder(
         clock,
--- a/src/carawayward/forwarding/attempt.py
+++ b/src/carawayward/forwarding/attempt.py
@@ -12,7 +12,7 @@
 import httpcore
 import trio
 
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 from carawayward.gateway import connections
 from carawayward import http_client as http
 
@@ -27,7 +27,7 @@
 
     method: bytes
     target: bytes
-    headers: facts.Headers
+    headers: message_types.Headers
     body: bytes
 
 
@@ -36,8 +36,8 @@
     """Status and headers of an endpoint's answer."""
 
     status: int
-    headers: facts.Headers
-    facts: facts.AnswerFacts
+    headers: message_types.Headers
+    metadata: message_types.ResponseMetadata
 
     @property
     def succeeded(self) -> bool:
@@ -93,7 +93,9 @@
     address: str,
     forward: Forward,
     request_id: str,
-    read_answer: typing.Callable[[int, facts.Headers], facts.AnswerFacts],
+    read_response: typing.Callable[
+        [int, message_types.Headers], message_types.ResponseMetadata
+    ],
     mark: http.SentMark,
     silence_ms: int | None = None,
 ) -> typing.AsyncIterator[Attempt]:
@@ -134,13 +136,13 @@
         except http.CALL_FAILURES as cause:
             detail = type(cause).__name__
             raise AttemptFailed(detail, sent=mark.sent) from cause
-        answer = read_answer(response.status, list(response.headers))
+        answer = read_response(response.status, list(response.headers))
         if answer.request_id and answer.request_id != request_id:
             raise AttemptFailed("another request's answer", sent=True)
         head = Head(
             status=response.status,
             headers=list(response.headers),
-            facts=answer,
+            metadata=answer,
         )
         yield Attempt(head, response)
     finally:
--- a/src/carawayward/forwarding/board.py
+++ b/src/carawayward/forwarding/board.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 from carawayward.forwarding import settings
 from carawayward.forwarding import table as table_module
 
@@ -56,10 +56,12 @@
     table: table_module.RoutingTable | None = None
     table_as_of_ms: float = NEVER
     store_failing: bool = False
-    endpoints: dict[str, facts.EndpointEntry] = attrs.field(factory=dict)
+    endpoints: dict[str, message_types.EndpointEntry] = attrs.field(
+        factory=dict
+    )
     endpoints_known: bool = False
     generation: int = 0
-    orders: dict[str, facts.RolloutOrder] = attrs.field(factory=dict)
+    orders: dict[str, message_types.RolloutOrder] = attrs.field(factory=dict)
     cold_reports: dict[str, ColdReport] = attrs.field(factory=dict)
     evacuated: set[str] = attrs.field(factory=set)
     open_requests: int = 0
--- a/src/carawayward/forwarding/cold_starts.py
+++ b/src/carawayward/forwarding/cold_starts.py
@@ -7,7 +7,7 @@
 from carawayward import clock as clock_module
 from carawayward.decisions import cold_starts
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 from carawayward.forwarding import table as table_module
 
 # Lists the entry VMs of a failure domain, or all of them where it has none;
@@ -49,7 +49,9 @@
             >= most
         )
 
-    def take(self, entry: facts.EndpointEntry) -> cold_starts.Permit | None:
+    def take(
+        self, entry: message_types.EndpointEntry
+    ) -> cold_starts.Permit | None:
         """Take a permit for a request to an endpoint; None if it is warm."""
         if entry.name not in self.board.cold_reports:
             return None
@@ -77,7 +79,9 @@
 
     def _find_service(
         self, name: str
-    ) -> tuple[facts.EndpointEntry | None, table_module.Service | None]:
+    ) -> tuple[
+        message_types.EndpointEntry | None, table_module.Service | None
+    ]:
         """An endpoint's entry, and what the routing table says of its pool."""
         entry, table = self.board.endpoints.get(name), self.board.table
         if entry is None or table is None:
--- a/src/carawayward/forwarding/daemon.py
+++ b/src/carawayward/forwarding/daemon.py
@@ -221,7 +221,7 @@
         gauges = measures_module.read_gauges(self.board, self.clock.boot_ms())
         page = measures_module.write_page(self.app.measures, gauges)
         reply = app_module.AsgiReply(send, lambda: False)
-        await replies.send_whole(reply, 200, METRICS_HEADERS, page)
+        await replies.send_response(reply, 200, METRICS_HEADERS, page)
 
     async def _leave(self) -> None:
         """Wait out the balancer, then until nothing is being served."""
--- a/src/carawayward/forwarding/declarations.py
+++ b/src/carawayward/forwarding/declarations.py
@@ -7,8 +7,8 @@
 from carawayward import clock as clock_module
 from carawayward import events
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
 from carawayward.forwarding import keyed_log
+from carawayward.forwarding import message_types
 from carawayward.forwarding import table
 
 # Orders that others have followed and that are remembered.
@@ -17,7 +17,12 @@
 # a copy that lacks it.
 RESTORE_MS = 2_000.0
 
-Decoded = table.RoutingTable | facts.RolloutOrder | facts.Evacuation | None
+Decoded = (
+    table.RoutingTable
+    | message_types.RolloutOrder
+    | message_types.Evacuation
+    | None
+)
 
 
 @attrs.define(eq=False)
@@ -31,7 +36,7 @@
     board: board_module.ForwardingBoard
     decode: typing.Callable[[keyed_log.Record], Decoded]
     clock: clock_module.Clock = attrs.field(factory=clock_module.Clock)
-    superseded: list[facts.RolloutOrder] = attrs.field(factory=list)
+    superseded: list[message_types.RolloutOrder] = attrs.field(factory=list)
     missing_since_ms: dict[str, float] = attrs.field(factory=dict)
     _copied: bool = False
 
@@ -45,7 +50,7 @@
         missing = set(self.board.evacuated)
         for record in records:
             decoded = self.decode(record)
-            if isinstance(decoded, facts.Evacuation):
+            if isinstance(decoded, message_types.Evacuation):
                 missing.discard(decoded.failure_domain)
             # An order of the copy that another one has followed since would
             # begin a roll-out anew that was over.
@@ -90,12 +95,12 @@
     def _take(self, decoded: Decoded) -> None:
         if isinstance(decoded, table.RoutingTable):
             self._take_table(decoded)
-        elif isinstance(decoded, facts.Evacuation):
+        elif isinstance(decoded, message_types.Evacuation):
             if decoded.lifted:
                 self._lift(decoded.failure_domain)
             else:
                 self._evacuate(decoded.failure_domain)
-        elif isinstance(decoded, facts.RolloutOrder):
+        elif isinstance(decoded, message_types.RolloutOrder):
             known = self.board.orders.get(decoded.service)
             if known is not None and known != decoded:
                 self.superseded.append(known)
--- a/src/carawayward/forwarding/exchange.py
+++ b/src/carawayward/forwarding/exchange.py
@@ -12,10 +12,10 @@
 from carawayward import events
 from carawayward.forwarding import attempt as attempt_module
 from carawayward.forwarding import attempt_timeouts
-from carawayward.forwarding import facts
 from carawayward.forwarding import fleet as fleet_module
 from carawayward.forwarding import hops
 from carawayward.forwarding import measures as measures_module
+from carawayward.forwarding import message_types
 from carawayward.forwarding import placing
 from carawayward.forwarding import relaying
 from carawayward.forwarding import replies
@@ -53,7 +53,7 @@
     """
 
     clock: clock_module.Clock
-    dialect: facts.Dialect
+    dialect: message_types.Dialect
     placer: placing.Placer
     relay: relaying.Relay
     may_send: typing.Callable[[work_items.Work], bool]
@@ -196,8 +196,8 @@
                     attempt_module.open_attempt(
                         place.entry.address,
                         self._make_forward(work, place),
-                        work.facts.request_id,
-                        self.dialect.read_answer,
+                        work.metadata.request_id,
+                        self.dialect.read_response,
                         mark,
                         attempt_timeouts.find_silence_ms(work.route),
                     )
@@ -206,7 +206,7 @@
                 if not mark.sent:
                     return work_items.Unreached("no connection in time")
                 return work_items.Failed("no answer in time")
-            if not answer.head.facts.declined:
+            if not answer.head.metadata.declined:
                 self.fleet.record_taken(place)
             return await self.relay.pass_on(work, answer, reply)
 
@@ -221,7 +221,7 @@
         self, work: work_items.Work, place: fleet_module.Place
     ) -> attempt_module.Forward:
         left_ms = work.deadline_ms - self.clock.now_ms() - RELAY_MARGIN_MS
-        dispatch = facts.Dispatch(
+        dispatch = message_types.DispatchMetadata(
             instance=place.entry.name,
             remaining_ms=max(1.0, left_ms),
             customer=work.customer,
@@ -251,7 +251,7 @@
         match outcome:
             case work_items.Unsure():
                 work.runs += 1
-                work.ran = True
+                work.earlier_may_have_run = True
                 work.model = outcome.model
             case work_items.Unreached():
                 work.useless |= {name}
@@ -266,13 +266,13 @@
             case work_items.Failed():
                 work.failed_at |= {name}
                 work.runs += 1
-                work.ran = True
+                work.earlier_may_have_run = True
                 work.failure = outcome
                 self.fleet.record_failure(place, outcome.cause)
         self.measures.count("attempts", outcome=type(outcome).__name__.lower())
         events.log_event(
             events.Event.ATTEMPT_ENDED,
-            request=work.facts.request_id,
+            request=work.metadata.request_id,
             endpoint=name,
             outcome=type(outcome).__name__,
             cause=outcome.cause,
@@ -317,10 +317,10 @@
         if failure is not None and failure.head is not None:
             status = failure.head.status
             headers = hops.keep_headers(failure.head.headers)
-            await replies.send_whole(reply, status, headers, failure.body)
+            await replies.send_response(reply, status, headers, failure.body)
         elif work.may_have_run:
             status = 504 if cause == "deadline" else 502
-            await replies.send_whole(reply, status, [], b"")
+            await replies.send_response(reply, status, [], b"")
         else:
             status = 503
             await replies.refuse(reply, status, come_back_ms)
@@ -339,7 +339,7 @@
             self.measures.observe("answer", took_ms, route=work.route.name)
         events.log_event(
             events.Event.REQUEST_FORWARDED,
-            request=work.facts.request_id,
+            request=work.metadata.request_id,
             route=work.route.name,
             status=status,
             cause=cause,
--- a/src/carawayward/forwarding/fleet.py
+++ b/src/carawayward/forwarding/fleet.py
@@ -13,7 +13,7 @@
 from carawayward import events
 from carawayward.forwarding import board as board_module
 from carawayward.forwarding import cold_starts as cold_starts_module
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 
 # A connection that failed sooner was turned away by a machine that is there.
 SILENT_CONNECT_MS = 400.0
@@ -39,7 +39,7 @@
 class Place:
     """An endpoint and what is known of its load and health."""
 
-    entry: facts.EndpointEntry
+    entry: message_types.EndpointEntry
     view: placement.View
 
 
@@ -74,7 +74,7 @@
             self.board, self.clock
         )
 
-    def find_memory(self, name: str) -> int:
+    def find_cache_tokens(self, name: str) -> int:
         """How many tokens an engine's memory holds; 0 if it is unknown."""
         place = self.places.get(name)
         table = self.board.table
@@ -269,11 +269,11 @@
             quarantine_module.record_taken(self.quarantine, name)
 
 
-def _identify(entry: facts.EndpointEntry) -> Identity:
+def _identify(entry: message_types.EndpointEntry) -> Identity:
     return entry.address, entry.born
 
 
-def _make_view(entry: facts.EndpointEntry) -> placement.View:
+def _make_view(entry: message_types.EndpointEntry) -> placement.View:
     """A view whose limit is what the endpoint says it can run at once."""
     return placement.View(
         name=entry.name,
--- a/src/carawayward/forwarding/hops.py
+++ b/src/carawayward/forwarding/hops.py
@@ -1,6 +1,6 @@
 """Headers as they go on to the next connection."""
 
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 
 # Headers that concern one connection only (RFC 9110, 7.6.1).
 CONNECTION_HEADERS = frozenset(
@@ -17,7 +17,9 @@
 )
 
 
-def drop_connection_headers(headers: facts.Headers) -> facts.Headers:
+def drop_connection_headers(
+    headers: message_types.Headers,
+) -> message_types.Headers:
     """Headers without those that concern one connection only."""
     named = set(CONNECTION_HEADERS)
     for name, value in headers:
@@ -26,7 +28,7 @@
     return [pair for pair in headers if pair[0].lower() not in named]
 
 
-def keep_headers(headers: facts.Headers) -> facts.Headers:
+def keep_headers(headers: message_types.Headers) -> message_types.Headers:
     """An endpoint's headers as they go to the caller."""
     return [
         pair
--- a/src/carawayward/forwarding/facts.py
+++ b/src/carawayward/forwarding/message_types.py
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class RequestFacts:
+class RequestMetadata:
     """What a caller's headers say.
 
     ``deadline_ms`` is how long the caller waits from now on. ``model`` is
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Dispatch:
+class DispatchMetadata:
     """What the system adds to a request that goes to an endpoint.
 
     ``remaining_ms`` is how long the endpoint may take; ``instance`` is the
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class AnswerFacts:
+class ResponseMetadata:
     """What an endpoint's headers say.
 
     ``declined`` is the endpoint's word that it did not and will not run the
@@ -87,9 +87,9 @@
 
     find_id: typing.Callable[[Headers], str]
 
-    read_request: typing.Callable[[Headers], RequestFacts]
-    write_request: typing.Callable[[Headers, Dispatch], Headers]
-    read_answer: typing.Callable[[int, Headers], AnswerFacts]
+    read_request: typing.Callable[[Headers], RequestMetadata]
+    write_request: typing.Callable[[Headers, DispatchMetadata], Headers]
+    read_response: typing.Callable[[int, Headers], ResponseMetadata]
 
 
 @attrs.frozen(kw_only=True)
--- a/src/carawayward/forwarding/placing.py
+++ b/src/carawayward/forwarding/placing.py
@@ -10,10 +10,10 @@
 from carawayward.decisions import placement
 from carawayward.decisions import retry_budget
 from carawayward import events
-from carawayward.forwarding import facts
 from carawayward.forwarding import fleet as fleet_module
 from carawayward.forwarding import load_reports
 from carawayward.forwarding import measures as measures_module
+from carawayward.forwarding import message_types
 from carawayward.forwarding import rollout_state
 from carawayward.forwarding import rollouts as rollouts_module
 from carawayward.forwarding import work_items
@@ -45,7 +45,10 @@
 
     def choose_model(self, work: work_items.Work) -> None:
         """Choose the model to begin with, where that is left to us."""
-        if work.facts.model != facts.ANY_MODEL or not work.route.models:
+        if (
+            work.metadata.model != message_types.ANY_MODEL
+            or not work.route.models
+        ):
             return
         may_escalate = (
             work.route.repeatable
@@ -182,7 +185,7 @@
         progress.predicted_ms = predicted_ms
         events.log_event(
             events.Event.HEAD_READ,
-            request=work.facts.request_id,
+            request=work.metadata.request_id,
             endpoint=work.endpoint,
             model=work.model_name,
             predicted_ms=round(predicted_ms),
--- a/src/carawayward/forwarding/ports.py
+++ b/src/carawayward/forwarding/ports.py
@@ -5,8 +5,8 @@
 import attrs
 
 from carawayward.forwarding import declarations as declarations_module
-from carawayward.forwarding import facts
 from carawayward.forwarding import keyed_log
+from carawayward.forwarding import message_types
 from carawayward.forwarding import registry
 
 
@@ -22,9 +22,11 @@
         [keyed_log.Record], declarations_module.Decoded
     ]
     decode_status: typing.Callable[
-        [keyed_log.Record], facts.RolloutStatus | None
+        [keyed_log.Record], message_types.RolloutStatus | None
+    ]
+    encode_status: typing.Callable[
+        [message_types.RolloutStatus], keyed_log.Record
     ]
-    encode_status: typing.Callable[[facts.RolloutStatus], keyed_log.Record]
     decode_endpoint: registry.Decode
-    dialect: facts.Dialect
+    dialect: message_types.Dialect
     close: typing.Callable[[], typing.Awaitable[None]]
--- a/src/carawayward/forwarding/registry.py
+++ b/src/carawayward/forwarding/registry.py
@@ -7,8 +7,8 @@
 from carawayward.decisions import lapses
 from carawayward import events
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
 from carawayward.forwarding import keyed_log
+from carawayward.forwarding import message_types
 from carawayward.forwarding import store_contact
 
 # Entries of endpoints that are alive but could not renew theirs while the
@@ -19,7 +19,9 @@
 # Departures that are remembered, longer than a copy of the store is old.
 DEPARTURE_TTL_MS = 60_000.0
 
-Decode = typing.Callable[[keyed_log.Record], facts.EndpointEntry | None]
+Decode = typing.Callable[
+    [keyed_log.Record], message_types.EndpointEntry | None
+]
 
 
 @attrs.frozen
@@ -130,7 +132,9 @@
             )
 
     def _record_cold(
-        self, entry: facts.EndpointEntry, known: facts.EndpointEntry | None
+        self,
+        entry: message_types.EndpointEntry,
+        known: message_types.EndpointEntry | None,
     ) -> None:
         """Note how long an endpoint is cold; one that does not say may be."""
         if entry.cold_ms is None and known is not None:
--- a/src/carawayward/forwarding/relaying.py
+++ b/src/carawayward/forwarding/relaying.py
@@ -37,9 +37,9 @@
     ) -> work_items.Outcome:
         """Pass an answer on, or say why it cannot be."""
         head = answer.head
-        if head.facts.declined:
+        if head.metadata.declined:
             return work_items.Declined(f"declined with {head.status}")
-        if head.succeeded and not head.facts.signed:
+        if head.succeeded and not head.metadata.signed:
             return work_items.Failed("answer without its signature")
         if head.succeeded and work.route.kind is table.RouteKind.STREAM:
             return await self._relay_events(work, answer, reply)
@@ -53,7 +53,7 @@
             return work_items.Failed(f"status {head.status}", head, body)
         if reply.begun:
             return work_items.Failed(f"status {head.status} amid a stream")
-        await replies.send_whole(
+        await replies.send_response(
             reply, head.status, hops.keep_headers(head.headers), body
         )
         return work_items.Delivered(head.status)
@@ -65,7 +65,7 @@
         reply: replies.Reply,
     ) -> work_items.Outcome:
         """Pass whole events on as they come."""
-        work.confidence = answer.head.facts.confidence
+        work.confidence = answer.head.metadata.confidence
         self.placer.observe_ttft(work)
         larger = None if reply.begun else self.placer.find_larger(work)
         if larger is not None:
--- a/src/carawayward/forwarding/replies.py
+++ b/src/carawayward/forwarding/replies.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 
 # Times to come back differ by so much between callers refused together.
 COME_BACK_SPREAD = (0.75, 1.25)
@@ -19,7 +19,7 @@
     target: bytes
     host: str
     path: str
-    headers: facts.Headers
+    headers: message_types.Headers
     body: bytes
 
 
@@ -31,7 +31,7 @@
 
     begun: bool
 
-    async def begin(self, status: int, headers: facts.Headers) -> None:
+    async def begin(self, status: int, headers: message_types.Headers) -> None:
         """Send status and headers."""
 
     async def send(self, piece: bytes) -> None:
@@ -41,8 +41,8 @@
         """Send the end of the body, which makes the answer whole."""
 
 
-async def send_whole(
-    reply: Reply, status: int, headers: facts.Headers, body: bytes
+async def send_response(
+    reply: Reply, status: int, headers: message_types.Headers, body: bytes
 ) -> None:
     """Send an answer in one go."""
     length = str(len(body)).encode()
@@ -61,8 +61,8 @@
     Callers that are refused together are told times apart, or they would
     all come back at the same moment and be refused together again.
     """
-    headers: facts.Headers = []
+    headers: message_types.Headers = []
     if come_back_ms is not None:
         come_back_ms *= random.uniform(*COME_BACK_SPREAD)
         headers.append((b"retry-after", b"%.3f" % (come_back_ms / 1000)))
-    await send_whole(reply, status, headers, b"")
+    await send_response(reply, status, headers, b"")
--- a/src/carawayward/forwarding/rollout_rounds.py
+++ b/src/carawayward/forwarding/rollout_rounds.py
@@ -15,8 +15,8 @@
 from carawayward.decisions import turns
 from carawayward import errors
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
 from carawayward.forwarding import keyed_log
+from carawayward.forwarding import message_types
 from carawayward.forwarding import rollout_state
 from carawayward.forwarding import rollouts as rollouts_module
 from carawayward import supervision
@@ -59,13 +59,15 @@
     rollouts: rollouts_module.Rollouts
     statuses: keyed_log.KeyedLog
     decode_status: typing.Callable[
-        [keyed_log.Record], facts.RolloutStatus | None
+        [keyed_log.Record], message_types.RolloutStatus | None
+    ]
+    encode_status: typing.Callable[
+        [message_types.RolloutStatus], keyed_log.Record
     ]
-    encode_status: typing.Callable[[facts.RolloutStatus], keyed_log.Record]
     list_members: typing.Callable[[], typing.Iterable[str]]
     get_end: typing.Callable[[], int | None] = lambda: None
     request_read: typing.Callable[[int], None] = lambda end: None
-    latest: dict[str, facts.RolloutStatus] = attrs.field(factory=dict)
+    latest: dict[str, message_types.RolloutStatus] = attrs.field(factory=dict)
     intents: dict[str, Intent] = attrs.field(factory=dict)
     as_of_ms: float = board_module.NEVER
     restoring: bool = False
@@ -150,7 +152,9 @@
         await self._write(rollout, wanted, end, intent)
 
     def _schedule(
-        self, rollout: rollout_state.Rollout, wanted: facts.RolloutState
+        self,
+        rollout: rollout_state.Rollout,
+        wanted: message_types.RolloutState,
     ) -> Intent:
         """When this entry VM is to write ``wanted``, if nobody else has."""
         service = rollout.order.service
@@ -171,13 +175,15 @@
     async def _write(
         self,
         rollout: rollout_state.Rollout,
-        wanted: facts.RolloutState,
+        wanted: message_types.RolloutState,
         end: int,
         intent: Intent,
     ) -> None:
         """Write a status unless something was written after ``end``."""
         order = rollout.order
-        status = facts.RolloutStatus(order.service, order.version, wanted)
+        status = message_types.RolloutStatus(
+            order.service, order.version, wanted
+        )
         try:
             await self.statuses.append([self.encode_status(status)], end)
         except keyed_log.Conflict as fault:
@@ -195,7 +201,7 @@
 
     def _find_wanted(
         self, rollout: rollout_state.Rollout
-    ) -> facts.RolloutState | None:
+    ) -> message_types.RolloutState | None:
         """The state to write, None if nothing is to be written."""
         if not rollout.running:
             return rollout.state if self._is_lost(rollout) else None
@@ -204,7 +210,7 @@
         now_ms = self.clock.now_ms()
         part = rollout.find_part(now_ms)
         if rollout.verdict is canary.Verdict.BAD:
-            return facts.RolloutState.ROLLED_BACK
+            return message_types.RolloutState.ROLLED_BACK
         under_load = rollout.sum_under_load()
         may_complete = canary.may_complete(
             (1.0 - part) * rollout.order.duration_ms,
@@ -216,13 +222,13 @@
         if may_complete and canary.is_proven(
             rollout.sum_tallies(), under_load
         ):
-            return facts.RolloutState.COMPLETED
+            return message_types.RolloutState.COMPLETED
         if part > 1.0:
             # Too little speaks for the version; what was there is known.
-            return facts.RolloutState.ROLLED_BACK
+            return message_types.RolloutState.ROLLED_BACK
         if rollout.reported:
             return None
-        return facts.RolloutState.RUNNING
+        return message_types.RolloutState.RUNNING
 
     def _is_lost(self, rollout: rollout_state.Rollout) -> bool:
         """Whether the store lacks a decision that was in force.
@@ -233,7 +239,7 @@
         status = self.latest.get(order.service)
         if status is None or status.version != order.version:
             return True
-        return status.state is facts.RolloutState.RUNNING
+        return status.state is message_types.RolloutState.RUNNING
 
     def _end_restoring(self) -> None:
         """Stop once the time to restore is over and nothing is lost."""
@@ -252,7 +258,7 @@
             read_ms = self.clock.now_ms() - age_ms
             rollout.read_ms = max(rollout.read_ms, read_ms)
 
-    def _take_status(self, status: facts.RolloutStatus) -> None:
+    def _take_status(self, status: message_types.RolloutStatus) -> None:
         rollout = self.rollouts.rollouts.get(status.service)
         if rollout is None or rollout.order.version != status.version:
             return
--- a/src/carawayward/forwarding/rollout_state.py
+++ b/src/carawayward/forwarding/rollout_state.py
@@ -10,7 +10,7 @@
 
 from carawayward.decisions import canary
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 from carawayward.forwarding import settings
 from carawayward.forwarding import work_items
 
@@ -87,9 +87,9 @@
     ``opening`` is what was counted when everything went to the new version.
     """
 
-    order: facts.RolloutOrder
+    order: message_types.RolloutOrder
     began_ms: float
-    state: facts.RolloutState = facts.RolloutState.RUNNING
+    state: message_types.RolloutState = message_types.RolloutState.RUNNING
     known: bool = False
     verdict: canary.Verdict = canary.Verdict.UNKNOWN
     read_ms: float = board_module.NEVER
@@ -107,7 +107,7 @@
     @property
     def running(self) -> bool:
         """Whether nothing has been decided yet."""
-        return self.state is facts.RolloutState.RUNNING
+        return self.state is message_types.RolloutState.RUNNING
 
     def find_part(self, now_ms: float) -> float:
         """The part of the time given that has passed."""
--- a/src/carawayward/forwarding/rollouts.py
+++ b/src/carawayward/forwarding/rollouts.py
@@ -13,9 +13,9 @@
 from carawayward.decisions import placement
 from carawayward import events
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 from carawayward.forwarding import rollout_state
-from carawayward.forwarding import version_sessions
+from carawayward.forwarding import session_versions
 from carawayward.forwarding import work_items
 
 # Statuses by which an endpoint says that it failed, and that the time which
@@ -31,28 +31,28 @@
     board: board_module.ForwardingBoard
     clock: clock_module.Clock
     rollouts: dict[str, rollout_state.Rollout] = attrs.field(factory=dict)
-    sessions: version_sessions.VersionSessions = attrs.field(init=False)
+    sessions: session_versions.SessionVersions = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.sessions = version_sessions.VersionSessions(
+        self.sessions = session_versions.SessionVersions(
             self.clock, lambda: self.board.bounds.session_ms
         )
 
     def choose(self, work: work_items.Work) -> rollout_state.Choice | None:
         """The version for a request; None where no roll-out was ordered."""
         self.take_orders()
-        service, session = work.service, work.facts.session
+        service, session = work.service, work.metadata.session
         rollout = self.rollouts.get(service)
         if rollout is None:
-            self.sessions.remember(service, session, "")
+            self.sessions.record(service, session, "")
             return None
-        if rollout.state is facts.RolloutState.COMPLETED:
+        if rollout.state is message_types.RolloutState.COMPLETED:
             return rollout_state.Choice(rollout, new=True, strict=False)
-        if rollout.state is facts.RolloutState.ROLLED_BACK:
+        if rollout.state is message_types.RolloutState.ROLLED_BACK:
             return rollout_state.Choice(rollout, new=False, strict=True)
-        new = self._takes_new(rollout, session, work.facts.request_id)
+        new = self._takes_new(rollout, session, work.metadata.request_id)
         version = rollout.order.version if new else ""
-        self.sessions.remember(service, session, version)
+        self.sessions.record(service, session, version)
         bad = rollout.verdict is canary.Verdict.BAD
         return rollout_state.Choice(
             rollout, new=new, strict=bad or not rollout.known
@@ -151,7 +151,7 @@
         self, run: rollout_state.Run | None, work: work_items.Work
     ) -> None:
         """A run is over, however it ended and whether its caller has left."""
-        self.sessions.touch(work.service, work.facts.session)
+        self.sessions.touch(work.service, work.metadata.session)
         if run is None:
             return
         rollout = run.rollout
@@ -250,7 +250,7 @@
                 )
 
     def take_state(
-        self, rollout: rollout_state.Rollout, state: facts.RolloutState
+        self, rollout: rollout_state.Rollout, state: message_types.RolloutState
     ) -> None:
         """Take what has been decided."""
         rollout.reported = state.value
--- a/src/carawayward/forwarding/version_sessions.py
+++ b/src/carawayward/forwarding/session_versions.py
@@ -18,7 +18,7 @@
 
 
 @attrs.define(eq=False)
-class VersionSessions:
+class SessionVersions:
     """The version that each session's last request went to.
 
     Versions are named as roll-outs name them; an empty one is whatever was
@@ -32,7 +32,7 @@
         attrs.field(factory=collections.OrderedDict)
     )
 
-    def remember(self, service: str, session: str, version: str) -> None:
+    def record(self, service: str, session: str, version: str) -> None:
         """A request of a session goes to a version; "" is no session."""
         if not session:
             return
@@ -44,7 +44,7 @@
         """A request of a session has ended; its time runs from here."""
         known = self.last.get((service, session))
         if known is not None:
-            self.remember(service, session, known[0])
+            self.record(service, session, known[0])
 
     def find(self, service: str, session: str) -> str | None:
         """The version of a session that still goes on, else None."""
--- a/src/carawayward/forwarding/work_items.py
+++ b/src/carawayward/forwarding/work_items.py
@@ -6,9 +6,9 @@
 
 from carawayward.decisions import engine_load
 from carawayward.forwarding import attempt as attempt_module
-from carawayward.forwarding import facts
 from carawayward.forwarding import load_report_messages
 from carawayward.forwarding import load_reports
+from carawayward.forwarding import message_types
 from carawayward.forwarding import replies
 from carawayward.forwarding import table
 from carawayward import http_client as http
@@ -113,15 +113,15 @@
 class Work:
     """What is known of one request while it is served; times in ms.
 
-    ``mark`` is that of the attempt under way; ``ran`` says whether an
-    earlier one may have run. Endpoints in ``failed_at`` are asked again only
-    when there is no other, those in ``useless`` not at all. ``backlog`` is
-    what its engine reads up to its first text, in weighted tokens, and
-    ``waits`` whether others' prompts are in that.
+    ``mark`` is that of the attempt under way; ``earlier_may_have_run`` says
+    whether an earlier one may have run. Endpoints in ``failed_at`` are asked
+    again only when there is no other, those in ``useless`` not at all.
+    ``backlog`` is what its engine reads up to its first text, in weighted
+    tokens, and ``waits`` whether others' prompts are in that.
     """
 
     request: replies.CallerRequest
-    facts: facts.RequestFacts
+    metadata: message_types.RequestMetadata
     route: table.Route
     service: str
     table: table.RoutingTable
@@ -133,7 +133,7 @@
     runs: int = 0
     progress: Progress = attrs.field(factory=lambda: Progress(0.0))
     unreached_ms: float = 0.0
-    ran: bool = False
+    earlier_may_have_run: bool = False
     mark: http.SentMark | None = None
     failed_at: frozenset[str] = frozenset()
     useless: frozenset[str] = frozenset()
@@ -148,7 +148,9 @@
     @property
     def may_have_run(self) -> bool:
         """Whether any attempt may have run or may still run."""
-        return self.ran or (self.mark is not None and self.mark.sent)
+        return self.earlier_may_have_run or (
+            self.mark is not None and self.mark.sent
+        )
 
     @property
     def model_name(self) -> str:
@@ -162,15 +164,15 @@
     It is for the model named, else for the one that is chosen for the work.
     """
     service = work.table.services.get(work.service)
-    if service is None or service.engine is None or not work.facts.prompt:
+    if service is None or service.engine is None or not work.metadata.prompt:
         return None
-    model = model or work.model_name or work.facts.model
+    model = model or work.model_name or work.metadata.model
     costs = service.engine.costs
     weight = costs.get(model, 1.0) / max(costs.values(), default=1.0)
     return engine_load.Prompt(
         parts=tuple(
             (load_report_messages.shorten(f"{model}/{part.name}"), part.tokens)
-            for part in work.facts.prompt
+            for part in work.metadata.prompt
         ),
         model_weight=weight,
     )
--- a/src/carawayward/platform/headers.py
+++ b/src/carawayward/platform/headers.py
@@ -4,7 +4,7 @@
 import typing
 
 from carawayward import errors
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 
 REQUEST_ID = b"carawayward-attempt-id"
 DEADLINE = b"carawayward-deadline-ms"
@@ -41,7 +41,9 @@
 MISDIRECTED = 421
 
 
-def read_request(headers: facts.Headers) -> facts.RequestFacts:
+def read_request(
+    headers: message_types.Headers,
+) -> message_types.RequestMetadata:
     """What a caller's headers say; raise BadRequest if they cannot be read."""
     found = {name.lower(): value for name, value in headers}
     request_id = _text(found, REQUEST_ID)
@@ -50,7 +52,7 @@
             REQUEST_ID.decode(), "", "give each attempt an id"
         )
     tokens = _numbers(found, TOKENS)
-    return facts.RequestFacts(
+    return message_types.RequestMetadata(
         request_id=request_id,
         deadline_ms=_number(found, DEADLINE),
         key=_text(found, KEY),
@@ -63,17 +65,17 @@
     )
 
 
-def find_id(headers: facts.Headers) -> str:
+def find_id(headers: message_types.Headers) -> str:
     """A request's id, empty if it has none."""
     return _text({n.lower(): v for n, v in headers}, REQUEST_ID)
 
 
 def write_request(
-    headers: facts.Headers, dispatch: facts.Dispatch
-) -> facts.Headers:
+    headers: message_types.Headers, dispatch: message_types.DispatchMetadata
+) -> message_types.Headers:
     """A caller's headers as they go to an endpoint."""
     replaced = set(SYSTEM_HEADERS)
-    added: facts.Headers = [
+    added: message_types.Headers = [
         (b"Carawayward-Deadline-Ms", b"%d" % dispatch.remaining_ms),
         (b"Carawayward-Expect-Instance", dispatch.instance.encode()),
     ]
@@ -93,10 +95,12 @@
     return kept + added
 
 
-def read_answer(status: int, headers: facts.Headers) -> facts.AnswerFacts:
+def read_response(
+    status: int, headers: message_types.Headers
+) -> message_types.ResponseMetadata:
     """What an endpoint's headers say."""
     found = {name.lower(): value for name, value in headers}
-    return facts.AnswerFacts(
+    return message_types.ResponseMetadata(
         request_id=_text(found, REQUEST_ID),
         # A process that has taken over the address of another says so by
         # this status, and has not run the request.
@@ -106,11 +110,11 @@
     )
 
 
-DIALECT = facts.Dialect(
+DIALECT = message_types.Dialect(
     find_id=find_id,
     read_request=read_request,
     write_request=write_request,
-    read_answer=read_answer,
+    read_response=read_response,
 )
 
 
@@ -137,12 +141,12 @@
     return []
 
 
-def _read_prefix(text: str) -> tuple[facts.PromptPart, ...]:
+def _read_prefix(text: str) -> tuple[message_types.PromptPart, ...]:
     """ID:TOKENS entries; one that cannot be read ends the list."""
     parts = []
     for entry in text.split(",") if text else ():
         name, _, tokens = entry.strip().partition(":")
         if not name or not tokens.isdecimal():
             break
-        parts.append(facts.PromptPart(name, int(tokens)))
+        parts.append(message_types.PromptPart(name, int(tokens)))
     return tuple(parts)
--- a/src/carawayward/platform/records.py
+++ b/src/carawayward/platform/records.py
@@ -9,8 +9,8 @@
 
 from carawayward import errors
 from carawayward import events
-from carawayward.forwarding import facts
 from carawayward.forwarding import keyed_log
+from carawayward.forwarding import message_types
 from carawayward.forwarding import table
 
 DECLARATION = "config"
@@ -23,9 +23,9 @@
     "streaming": table.RouteKind.STREAM,
 }
 ROLLOUT_STATES = {
-    "in_progress": facts.RolloutState.RUNNING,
-    "completed": facts.RolloutState.COMPLETED,
-    "rolled_back": facts.RolloutState.ROLLED_BACK,
+    "in_progress": message_types.RolloutState.RUNNING,
+    "completed": message_types.RolloutState.COMPLETED,
+    "rolled_back": message_types.RolloutState.ROLLED_BACK,
 }
 ROLLOUT_WORDS = {state: word for word, state in ROLLOUT_STATES.items()}
 STATES = {"ready": False, "draining": True}
@@ -36,13 +36,18 @@
 
 def decode_declaration(
     record: keyed_log.Record,
-) -> table.RoutingTable | facts.RolloutOrder | facts.Evacuation | None:
+) -> (
+    table.RoutingTable
+    | message_types.RolloutOrder
+    | message_types.Evacuation
+    | None
+):
     """A record of the operators' topic; None if it is of no use."""
     if record.key.startswith(EVACUATION_PREFIX):
         # Its body says nothing, so that one that cannot be read counts too.
         domain = record.key.removeprefix(EVACUATION_PREFIX)
         lifted = record.value is None
-        return facts.Evacuation(domain, lifted) if domain else None
+        return message_types.Evacuation(domain, lifted) if domain else None
     if record.value is None:
         return None
     try:
@@ -56,12 +61,14 @@
     return None
 
 
-def decode_endpoint(record: keyed_log.Record) -> facts.EndpointEntry | None:
+def decode_endpoint(
+    record: keyed_log.Record,
+) -> message_types.EndpointEntry | None:
     """A record of the servers' topic; None if it names no endpoint to use."""
     try:
         body = json.loads(record.value or b"")
         born = body.get("born")
-        entry = facts.EndpointEntry(
+        entry = message_types.EndpointEntry(
             name=record.key,
             service=_check(body["service"], str),
             address=_check(body["address"], str),
@@ -153,16 +160,18 @@
     )
 
 
-def read_order(body: dict) -> facts.RolloutOrder:
+def read_order(body: dict) -> message_types.RolloutOrder:
     """An order to move a service to another version."""
-    return facts.RolloutOrder(
+    return message_types.RolloutOrder(
         service=_check(body["service"], str),
         version=_check(body["target"], str),
         duration_ms=float(body["durationS"]) * 1000.0,
     )
 
 
-def decode_status(record: keyed_log.Record) -> facts.RolloutStatus | None:
+def decode_status(
+    record: keyed_log.Record,
+) -> message_types.RolloutStatus | None:
     """A record of the statuses' topic; None if it is of no use."""
     service = record.key.removeprefix(ROLLOUT_PREFIX)
     if record.value is None or service == record.key:
@@ -170,13 +179,13 @@
     try:
         body = json.loads(record.value)
         state = ROLLOUT_STATES[body["state"]]
-        return facts.RolloutStatus(service, body["target"], state)
+        return message_types.RolloutStatus(service, body["target"], state)
     except UNREADABLE as fault:
         _log_unreadable(record, fault)
         return None
 
 
-def encode_status(status: facts.RolloutStatus) -> keyed_log.Record:
+def encode_status(status: message_types.RolloutStatus) -> keyed_log.Record:
     """The reverse of ``decode_status``."""
     body = {"state": ROLLOUT_WORDS[status.state], "target": status.version}
     return keyed_log.Record(
--- a/src/carawayward/platform/store.py
+++ b/src/carawayward/platform/store.py
@@ -12,8 +12,8 @@
 
 from carawayward import errors
 from carawayward import events
-from carawayward.forwarding import facts
 from carawayward.forwarding import keyed_log
+from carawayward.forwarding import message_types
 from carawayward.forwarding import positions
 from carawayward.gateway import connections
 from carawayward import http_client as http
@@ -196,7 +196,7 @@
         return position
 
 
-def read_era(headers: facts.Headers) -> int:
+def read_era(headers: message_types.Headers) -> int:
     """The era of an answer; 0 without the header.
 
     Raises PlatformUnavailable if it is no whole number: what cannot be told
--- a/tests/cover/test_cold_starts.py
+++ b/tests/cover/test_cold_starts.py
@@ -10,9 +10,9 @@
 from carawayward.forwarding import board as board_module
 from carawayward.forwarding import cold_starts
 from carawayward.forwarding import declarations
-from carawayward.forwarding import facts
 from carawayward.forwarding import fleet as fleet_module
 from carawayward.forwarding import keyed_log
+from carawayward.forwarding import message_types
 from carawayward.forwarding import registry
 from carawayward.forwarding import settings
 from carawayward.forwarding import store_contact
@@ -34,7 +34,7 @@
 
 
 def make_entry(name="e-1", domain="north", cold_ms=2_000.0, born=1):
-    return facts.EndpointEntry(
+    return message_types.EndpointEntry(
         name=name,
         service="engines",
         address="10.0.0.1:80",
--- a/tests/cover/test_forwarding_delegates.py
+++ b/tests/cover/test_forwarding_delegates.py
@@ -11,13 +11,13 @@
 from carawayward.decisions import delegates
 from carawayward import errors
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
 from carawayward.forwarding import feed
 from carawayward.forwarding import feeds as feeds_module
 from carawayward.forwarding import freshness
 from carawayward.forwarding import keyed_log
 from carawayward.forwarding import load_report_messages
 from carawayward.forwarding import measures
+from carawayward.forwarding import message_types
 from carawayward.forwarding import settings
 from carawayward.forwarding import table
 from carawayward.platform import store
@@ -121,7 +121,7 @@
 
 
 def decode_endpoint(record):
-    return facts.EndpointEntry(
+    return message_types.EndpointEntry(
         name=record.key,
         service="desk",
         address="127.0.0.1:1",
--- a/tests/cover/test_forwarding_fleet.py
+++ b/tests/cover/test_forwarding_fleet.py
@@ -4,8 +4,8 @@
 
 from carawayward import clock as clock_module
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
 from carawayward.forwarding import fleet as fleet_module
+from carawayward.forwarding import message_types
 
 
 def make_fleet():
@@ -14,7 +14,7 @@
     clock: typing.Any = clock_module.ManualClock(now=10_000.0)
     for number in range(6):
         name = f"engine-{number}"
-        board.endpoints[name] = facts.EndpointEntry(
+        board.endpoints[name] = message_types.EndpointEntry(
             name=name,
             service="engines",
             address=f"10.0.0.{number}:80",
--- a/tests/cover/test_forwarding_freshness.py
+++ b/tests/cover/test_forwarding_freshness.py
@@ -13,12 +13,12 @@
 from carawayward.forwarding import attestation
 from carawayward.forwarding import board as board_module
 from carawayward.forwarding import change_log
-from carawayward.forwarding import facts
 from carawayward.forwarding import feed
 from carawayward.forwarding import freshness
 from carawayward.forwarding import freshness_messages
 from carawayward.forwarding import keyed_log
 from carawayward.forwarding import load_report_messages
+from carawayward.forwarding import message_types
 from carawayward.forwarding import rollout_rounds
 from carawayward.forwarding import rollouts
 
@@ -259,7 +259,7 @@
     """Rounds of one roll-out that runs, on an entry VM among others."""
     clock: typing.Any = clock_module.ManualClock(now=10_000.0)
     board = board_module.ForwardingBoard(name=name, failure_domain="north")
-    board.orders["desk"] = facts.RolloutOrder(
+    board.orders["desk"] = message_types.RolloutOrder(
         service="desk", version="v2", duration_ms=60_000.0
     )
     chosen = rollouts.Rollouts(board, clock)
@@ -269,8 +269,8 @@
         clock,
         chosen,
         statuses,
-        lambda record: facts.RolloutStatus(
-            "desk", "v2", facts.RolloutState.RUNNING
+        lambda record: message_types.RolloutStatus(
+            "desk", "v2", message_types.RolloutState.RUNNING
         ),
         lambda status: keyed_log.Record("desk", b"running"),
         lambda: names,
--- a/tests/cover/test_forwarding_load_reports.py
+++ b/tests/cover/test_forwarding_load_reports.py
@@ -9,10 +9,10 @@
 from carawayward import clock as clock_module
 from carawayward.decisions import engine_load
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
 from carawayward.forwarding import keyed_log
 from carawayward.forwarding import load_report_messages
 from carawayward.forwarding import load_reports
+from carawayward.forwarding import message_types
 from carawayward.forwarding import report_channels
 
 
@@ -35,7 +35,7 @@
 def make_board(name):
     board = board_module.ForwardingBoard(name=name, failure_domain="north")
     for engine in ("engine", *(f"engine-{number}" for number in range(6))):
-        board.endpoints[engine] = facts.EndpointEntry(
+        board.endpoints[engine] = message_types.EndpointEntry(
             name=engine,
             service="engines",
             address="127.0.0.1:1",
--- a/tests/cover/test_forwarding_platform.py
+++ b/tests/cover/test_forwarding_platform.py
@@ -11,9 +11,9 @@
 
 from carawayward import errors
 from carawayward.forwarding import event_stream
-from carawayward.forwarding import facts
 from carawayward.forwarding import keyed_log
 from carawayward.forwarding import measures
+from carawayward.forwarding import message_types
 from carawayward.forwarding import settings
 from carawayward.forwarding import table
 from carawayward.platform import headers
@@ -158,7 +158,9 @@
     ]
     sent = headers.write_request(
         [(b"x-mine", b"1"), *forged],
-        facts.Dispatch(instance="i-1", remaining_ms=70.9, customer="ikeja"),
+        message_types.DispatchMetadata(
+            instance="i-1", remaining_ms=70.9, customer="ikeja"
+        ),
     )
     found = {name.lower(): value for name, value in sent}
     assert b"forged" not in found.values()
--- a/tests/cover/test_forwarding_registry.py
+++ b/tests/cover/test_forwarding_registry.py
@@ -10,9 +10,9 @@
 from carawayward.decisions import lapses
 from carawayward import errors
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
 from carawayward.forwarding import feed
 from carawayward.forwarding import keyed_log
+from carawayward.forwarding import message_types
 from carawayward.forwarding import registry
 from carawayward.forwarding import store_contact
 from carawayward.platform import store
@@ -105,7 +105,7 @@
 
 
 def decode(record):
-    return facts.EndpointEntry(
+    return message_types.EndpointEntry(
         name=record.key,
         service="desk",
         address="127.0.0.1:1",
--- a/tests/cover/test_forwarding_versions.py
+++ b/tests/cover/test_forwarding_versions.py
@@ -10,7 +10,7 @@
 from carawayward.decisions import quarantine
 from carawayward.decisions import turns
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 from carawayward.forwarding import placing
 from carawayward.forwarding import rollout_state
 from carawayward.forwarding import rollouts as rollouts_module
@@ -247,7 +247,7 @@
     clock = clock_module.Clock()
     board = board_module.ForwardingBoard(name="vm", failure_domain="north")
     rollouts = rollouts_module.Rollouts(board, clock)
-    board.orders["desk"] = facts.RolloutOrder(
+    board.orders["desk"] = message_types.RolloutOrder(
         service="desk", version="v2", duration_ms=duration_ms
     )
     rollouts.take_orders()
@@ -274,7 +274,7 @@
     rollout.read_ms = rollouts.clock.now_ms()
     rollout.verdict = canary.Verdict.GOOD
     rollout.sent, rollout.sent_new = 400, 91
-    rollouts.sessions.remember("desk", "begun", "v2")
+    rollouts.sessions.record("desk", "begun", "v2")
     assert rollouts._takes_new(rollout, "begun", "one")
     assert not rollouts._takes_new(rollout, "", "two")
 
@@ -307,7 +307,7 @@
     work: typing.Any = types.SimpleNamespace(
         progress=work_items.Progress(began_ms, version=version),
         reading=nothing,
-        facts=nothing,
+        metadata=nothing,
         service="desk",
         endpoint="engine",
         model_name="large",
@@ -329,7 +329,7 @@
         for _ in range(20):
             observe_first_token(rollouts, model, version)
         assert (model.base_ms > before_ms) is learns
-    rollout.state = facts.RolloutState.COMPLETED
+    rollout.state = message_types.RolloutState.COMPLETED
     model = engine_load.LatencyModel()
     observe_first_token(rollouts, model, "v2")
     assert model.base_ms > engine_load.FIRST_BASE_MS
--- a/tests/cover/test_store_eras.py
+++ b/tests/cover/test_store_eras.py
@@ -9,8 +9,8 @@
 from carawayward import clock as clock_module
 from carawayward import errors
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
 from carawayward.forwarding import keyed_log
+from carawayward.forwarding import message_types
 from carawayward.forwarding import positions
 from carawayward.forwarding import registry
 from carawayward.forwarding import store_contact
@@ -61,7 +61,7 @@
 
 
 def decode_endpoint(record):
-    return facts.EndpointEntry(
+    return message_types.EndpointEntry(
         name=record.key,
         service="desk",
         address="127.0.0.1:1",
--- a/tests/failures/test_forwarding_eras.py
+++ b/tests/failures/test_forwarding_eras.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 from carawayward.forwarding import registration
 from carawayward.forwarding import registry
 from tests.common import forwarding
@@ -127,7 +127,7 @@
     """Have all entry VMs follow a decision that the store then loses."""
     made.store.save_copy()
     decide(made, "completed")
-    decided = [facts.RolloutState.COMPLETED] * len(made.daemons)
+    decided = [message_types.RolloutState.COMPLETED] * len(made.daemons)
     await made.wait_for(lambda: list_states(made) == decided)
     made.store.restore_copy()
 
@@ -141,7 +141,9 @@
             await lose_decision(made)
             assert read_status(made) is None
             await made.wait_for(lambda: read_status(made) == "completed")
-            assert list_states(made) == [facts.RolloutState.COMPLETED] * 3
+            assert (
+                list_states(made) == [message_types.RolloutState.COMPLETED] * 3
+            )
             topic = made.store.topic("keyed.status")
             await trio.sleep(1.5)
             assert len(topic.records) == 1
--- a/tests/model/rollout_steps.py
+++ b/tests/model/rollout_steps.py
@@ -19,8 +19,8 @@
 from carawayward.decisions import canary
 from carawayward import errors
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
 from carawayward.forwarding import keyed_log
+from carawayward.forwarding import message_types
 from carawayward.forwarding import rollout_rounds
 from carawayward.forwarding import rollout_state
 from carawayward.forwarding import rollouts
@@ -28,7 +28,7 @@
 ROUNDS = 5
 FAULTS_MOST = 4
 DURATION_MS = 10_000.0
-ORDER = facts.RolloutOrder(
+ORDER = message_types.RolloutOrder(
     service="desk", version="v2", duration_ms=DURATION_MS
 )
 
@@ -52,8 +52,8 @@
     """The topic of statuses; ``checks`` is whether conditions are checked."""
 
     checks: bool = True
-    statuses: list[facts.RolloutState] = attrs.field(factory=list)
-    late: list[tuple[int | None, facts.RolloutState]] = attrs.field(
+    statuses: list[message_types.RolloutState] = attrs.field(factory=list)
+    late: list[tuple[int | None, message_types.RolloutState]] = attrs.field(
         factory=list
     )
 
@@ -69,7 +69,7 @@
     async def append(
         self, records: list[keyed_log.Record], end: int | None = None
     ) -> int:
-        state = facts.RolloutState((records[0].value or b"").decode())
+        state = message_types.RolloutState((records[0].value or b"").decode())
         how = await Call("append")
         if how == "late":
             self.late.append((end, state))
@@ -79,7 +79,9 @@
             raise errors.PlatformUnavailable("statuses", "no answer")
         return len(self.statuses)
 
-    def write(self, end: int | None, state: facts.RolloutState) -> None:
+    def write(
+        self, end: int | None, state: message_types.RolloutState
+    ) -> None:
         if self.checks and end != len(self.statuses):
             raise keyed_log.Conflict(len(self.statuses))
         self.statuses.append(state)
@@ -103,12 +105,12 @@
         return 0.0
 
 
-def decode(record: keyed_log.Record) -> facts.RolloutStatus:
-    state = facts.RolloutState((record.value or b"").decode())
-    return facts.RolloutStatus("desk", "v2", state)
+def decode(record: keyed_log.Record) -> message_types.RolloutStatus:
+    state = message_types.RolloutState((record.value or b"").decode())
+    return message_types.RolloutStatus("desk", "v2", state)
 
 
-def encode(status: facts.RolloutStatus) -> keyed_log.Record:
+def encode(status: message_types.RolloutStatus) -> keyed_log.Record:
     return keyed_log.Record("desk", status.state.value.encode())
 
 
@@ -238,9 +240,12 @@
 
     def find_fault(self) -> str:
         """What is wrong with this state; empty if nothing is."""
-        final = facts.RolloutState.RUNNING
+        final = message_types.RolloutState.RUNNING
         for state in self.store.statuses:
-            if final is not facts.RolloutState.RUNNING and state is not final:
+            if (
+                final is not message_types.RolloutState.RUNNING
+                and state is not final
+            ):
                 return f"{state.value} was written over {final.value}"
             final = state
         for name, vm in self.vms.items():
@@ -270,7 +275,7 @@
     fault: str = ""
     steps: list[Step] = attrs.field(factory=list)
     states: int = 0
-    written: set[facts.RolloutState] = attrs.field(factory=set)
+    written: set[message_types.RolloutState] = attrs.field(factory=set)
 
 
 def explore(beliefs: typing.Sequence[str], checks: bool = True) -> Found:
--- a/tests/model/test_rollout_steps.py
+++ b/tests/model/test_rollout_steps.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 from tests.model import rollout_steps
 
 
@@ -16,9 +16,9 @@
         assert not found.fault, (pair, found.fault, found.steps)
         assert found.states > 1_500
         finals = {
-            "good": facts.RolloutState.COMPLETED,
-            "bad": facts.RolloutState.ROLLED_BACK,
-            "unsure": facts.RolloutState.RUNNING,
+            "good": message_types.RolloutState.COMPLETED,
+            "bad": message_types.RolloutState.ROLLED_BACK,
+            "unsure": message_types.RolloutState.RUNNING,
         }
         assert {finals[belief] for belief in pair} <= found.written
 
