--- a/src/carawayward/forwarding/__init__.py
+++ b/src/carawayward/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarded routes: callers' HTTP requests passed on to endpoints as sent."""
+"""Forwarded routes: HTTP requests proxied to endpoints as sent."""
--- a/src/carawayward/forwarding/app.py
+++ b/src/carawayward/forwarding/app.py
@@ -1,7 +1,7 @@
-"""The callers' side of forwarded routes: an ASGI application.
+"""The ASGI application that accepts requests on forwarded routes.
 
-It reads the whole request, judges it by the routing table, and watches for
-the caller leaving while the request is served.
+It reads the whole request, looks up its route and customer in the routing
+table, and watches for a disconnect while the request is served.
 """
 
 import contextlib
@@ -26,8 +26,8 @@
 Receive = typing.Callable[[], typing.Awaitable[dict]]
 Send = typing.Callable[[dict], typing.Awaitable[None]]
 
-# Refusals that pass by themselves once this entry VM has read the store.
-NOT_READY_MS = 500.0
+# Retry-After while this entry VM has not read a routing table from the store.
+NOT_READY_RETRY_MS = 500.0
 
 
 class CallerLeft(Exception):
@@ -35,34 +35,35 @@
 
 
 class Refused(Exception):
-    """A request that gets a status of our own, and has not run."""
+    """A request that is refused by this entry VM and has not run."""
 
     def __init__(
-        self, status: int, cause: str, come_back_ms: float | None = None
+        self, status: int, cause: str, retry_after_ms: float | None = None
     ) -> None:
         super().__init__(cause)
         self.status = status
         self.cause = cause
-        self.come_back_ms = come_back_ms
+        self.retry_after_ms = retry_after_ms
 
 
 @attrs.define(eq=False)
 class AsgiReply:
-    """A reply over ASGI; ``finished`` once its end has been handed over.
+    """A reply over ASGI.
 
-    ``redirects_callers`` says whether the caller's connection is to end with
-    it.
+    ``finished`` is set right before the end of the body is sent. If
+    ``should_redirect_callers`` returns true when the reply starts, the reply
+    closes the caller's connection.
     """
 
     send_event: Send
-    redirects_callers: typing.Callable[[], bool]
-    begun: bool = False
+    should_redirect_callers: typing.Callable[[], bool]
+    started: bool = False
     finished: bool = False
 
-    async def begin(self, status: int, headers: message_types.Headers) -> None:
+    async def start(self, status: int, headers: message_types.Headers) -> None:
         """Send status and headers."""
-        self.begun = True
-        if self.redirects_callers():
+        self.started = True
+        if self.should_redirect_callers():
             headers = [*headers, (b"connection", b"close")]
         await self.send_event(
             {
@@ -72,18 +73,18 @@
             }
         )
 
-    async def send(self, piece: bytes) -> None:
-        """Send a piece of the body."""
-        await self._send_body(piece, more=True)
+    async def send(self, chunk: bytes) -> None:
+        """Send a chunk of the body."""
+        await self._send_body(chunk, more=True)
 
     async def finish(self) -> None:
         """Send the end of the body."""
         self.finished = True
         await self._send_body(b"", more=False)
 
-    async def _send_body(self, piece: bytes, more: bool) -> None:
+    async def _send_body(self, chunk: bytes, more: bool) -> None:
         await self.send_event(
-            {"type": "http.response.body", "body": piece, "more_body": more}
+            {"type": "http.response.body", "body": chunk, "more_body": more}
         )
 
 
@@ -104,13 +105,13 @@
         """Serve one request."""
         if scope["type"] != "http":
             return
-        reply = AsgiReply(send, self.readiness.redirects_callers)
+        reply = AsgiReply(send, self.readiness.should_redirect_callers)
         self.board.open_requests += 1
         try:
             await self._serve(scope, receive, reply)
         except Refused as refusal:
             self._log_refusal(scope, refusal)
-            await replies.refuse(reply, refusal.status, refusal.come_back_ms)
+            await replies.refuse(reply, refusal.status, refusal.retry_after_ms)
         except CallerLeft:
             pass
         finally:
@@ -124,73 +125,72 @@
         limits = self._find_limits()
         body = await read_body(receive, limits.body_bytes)
         request = make_request(scope, body)
-        work = self._judge(request, began_ms)
+        work = self._make_work(request, began_ms)
         served = False
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(cancel_on_leaving, receive, reply, nursery)
+            nursery.start_soon(cancel_on_disconnect, receive, reply, nursery)
             await self.forwarder.serve(work, reply)
             served = True
             nursery.cancel_scope.cancel()
         if not served:
-            self.forwarder.record_left(work)
+            self.forwarder.record_caller_left(work)
 
     def _find_limits(self) -> table_module.CallerLimits:
         table = self.board.table
         return table.limits if table else table_module.CallerLimits()
 
-    def _judge(
+    def _make_work(
         self, request: replies.CallerRequest, began_ms: float
     ) -> work_items.Work:
-        """Find route and customer; raise Refused."""
+        """Look up the route and the customer; raise Refused if it fails."""
         table = self.board.table
         if table is None:
-            raise Refused(503, "no routing table yet", NOT_READY_MS)
+            raise Refused(503, "no routing table yet", NOT_READY_RETRY_MS)
         if self.board.refusing:
-            raise Refused(503, "leaving", readiness_module.ELSEWHERE_MS)
+            raise Refused(503, "leaving", readiness_module.OTHER_VM_RETRY_MS)
         try:
-            known = self.dialect.read_request(request.headers)
+            metadata = self.dialect.read_request(request.headers)
         except errors.BadRequest as fault:
             raise Refused(fault.status, str(fault)) from fault
         route = table.find_route(request.host, request.path)
         if route is None:
-            # A table that may be out of date cannot say that there is no
-            # such route: a newer one may have added it.
+            # A newer table than this one may have added the route.
             if not self.readiness.is_fresh():
-                raise self._refuse_stale("table may be old")
+                raise self._make_stale_refusal("table may be old")
             raise Refused(404, "no such route")
-        customer = self._find_customer(table, route, known)
+        customer = self._find_customer(table, route, metadata)
         wait_ms = route.timeout_ms
-        if known.deadline_ms is not None:
-            wait_ms = min(wait_ms, known.deadline_ms)
+        if metadata.deadline_ms is not None:
+            wait_ms = min(wait_ms, metadata.deadline_ms)
         return work_items.Work(
             request=request,
-            metadata=known,
+            metadata=metadata,
             route=route,
-            service=choose_service(route, known),
+            service=choose_service(route, metadata),
             table=table,
             customer=customer,
             began_ms=began_ms,
             deadline_ms=began_ms + wait_ms,
-            last_event=known.last_event,
+            last_event=metadata.last_event,
         )
 
     def _find_customer(
         self,
         table: table_module.RoutingTable,
         route: table_module.Route,
-        known: message_types.RequestMetadata,
+        metadata: message_types.RequestMetadata,
     ) -> str:
         if not table.needs_key(route):
             return ""
         if not self.readiness.is_fresh():
-            raise self._refuse_stale("keys may be old")
-        customer = table.customers_by_key.get(known.key)
+            raise self._make_stale_refusal("keys may be old")
+        customer = table.customers_by_key.get(metadata.key)
         if customer is None:
             raise Refused(401, "unknown key")
         return customer.name
 
-    def _refuse_stale(self, cause: str) -> Refused:
-        """Refuse what a proof of the table would be needed for."""
+    def _make_stale_refusal(self, cause: str) -> Refused:
+        """Make the refusal of a request that needs a current table."""
         return Refused(503, cause, self.readiness.compute_retry_after_ms())
 
     def _log_refusal(self, scope: dict, refusal: Refused) -> None:
@@ -210,18 +210,18 @@
 
 
 def choose_service(
-    route: table_module.Route, known: message_types.RequestMetadata
+    route: table_module.Route, metadata: message_types.RequestMetadata
 ) -> str:
-    """The service for a request; a session stays with one."""
-    key = placement.hash_key(known.session or known.request_id)
+    """Choose a service by hash, so that a session stays with one."""
+    key = placement.hash_key(metadata.session or metadata.request_id)
     return route.choose_service(key / 2.0**64)
 
 
 def check_framing(headers: message_types.Headers) -> None:
-    """Refuse a request whose end two readers may see in two places.
+    """Refuse a request with ambiguous framing (request smuggling).
 
-    A second request hidden behind the end that an endpoint sees would run
-    with the rights of this one.
+    If an endpoint sees the end of the request earlier than this entry VM, the
+    rest of the body runs as a second request with the rights of this one.
     """
     names = [name.lower() for name, _ in headers]
     lengths = names.count(b"content-length")
@@ -230,28 +230,28 @@
         raise Refused(400, "ambiguous framing or host")
 
 
-async def read_body(receive: Receive, most: int) -> bytes:
-    """The whole body of a request."""
+async def read_body(receive: Receive, max_bytes: int) -> bytes:
+    """Read the whole body of a request."""
     body = bytearray()
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
             raise CallerLeft()
         body += message.get("body", b"")
-        if len(body) > most:
+        if len(body) > max_bytes:
             raise Refused(413, "body too large")
         if not message.get("more_body", False):
             return bytes(body)
 
 
-async def cancel_on_leaving(
+async def cancel_on_disconnect(
     receive: Receive, reply: AsgiReply, nursery: trio.Nursery
 ) -> None:
-    """Cancel what the caller no longer waits for.
+    """Cancel the request when the caller disconnects.
 
-    A connection that closes after its answer says the same as one that is
-    left. Cancelled then, a request that was served would be written down,
-    and held against its endpoint's version, as if it had not been.
+    A connection that closes after the whole response gives the same ASGI
+    message as one closed before it. Cancelling then would log a request that
+    was served as abandoned, and count it against its endpoint's version.
     """
     while (await receive())["type"] != "http.disconnect":
         pass
@@ -260,7 +260,7 @@
 
 
 def make_request(scope: dict, body: bytes) -> replies.CallerRequest:
-    """The request as the endpoint is to get it."""
+    """Make the request that is forwarded, from its ASGI scope and body."""
     path: bytes = scope["raw_path"]
     query: bytes = scope["query_string"]
     target = path + b"?" + query if query else path
--- a/src/carawayward/forwarding/attempt.py
+++ b/src/carawayward/forwarding/attempt.py
@@ -1,8 +1,8 @@
-"""One attempt of a forwarded request at one endpoint.
+"""One attempt to send a forwarded request to one endpoint.
 
-Each attempt has a connection of its own. An idle one may have gone silent
-for good, or may hold what an endpoint sent behind an earlier answer; a new
-one costs a round trip and can do neither.
+Each attempt opens a new connection. An idle one may be dead without notice,
+or may hold bytes that an endpoint sent after an earlier response; a new one
+costs a round trip and has neither problem.
 """
 
 import contextlib
@@ -16,14 +16,14 @@
 from carawayward.gateway import connections
 from carawayward import http_client as http
 
-# Links between failure domains take a few ms; a SYN that was lost is sent
-# again after a second, and by then another endpoint has answered.
-CONNECT_S = 0.5
+# A round trip between failure domains takes a few ms. A lost SYN is sent again
+# only after a second; trying another endpoint is faster.
+CONNECT_TIMEOUT_S = 0.5
 
 
 @attrs.frozen(kw_only=True)
-class Forward:
-    """A request as it goes to an endpoint."""
+class ForwardedRequest:
+    """A request as it is sent to an endpoint."""
 
     method: bytes
     target: bytes
@@ -32,8 +32,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class Head:
-    """Status and headers of an endpoint's answer."""
+class ResponseHead:
+    """Status and headers of an endpoint's response."""
 
     status: int
     headers: message_types.Headers
@@ -41,14 +41,14 @@
 
     @property
     def succeeded(self) -> bool:
-        """Whether the status says that the request was carried out."""
+        """Whether the status is 2xx."""
         return 200 <= self.status < 300
 
 
 class AttemptFailed(Exception):
-    """No usable answer came.
+    """An attempt ended without a usable response.
 
-    ``sent`` is False only when no byte of the request can have left.
+    ``sent`` is False only if no byte of the request can have been sent.
     """
 
     def __init__(self, detail: str, sent: bool) -> None:
@@ -58,32 +58,35 @@
 
 
 class AttemptWithheld(Exception):
-    """The request may no longer go out; no byte of it has."""
+    """The request may no longer be sent; no byte of it has been."""
 
 
 @attrs.define(eq=False)
-class Attempt:
-    """An answer that is being read."""
+class ResponseReader:
+    """An endpoint's response, whose body is read as it arrives."""
 
-    head: Head
+    head: ResponseHead
     _response: httpcore.Response
 
-    async def read_pieces(self) -> typing.AsyncGenerator[bytes, None]:
-        """The body, piece by piece; raises AttemptFailed if it breaks off."""
+    async def read_chunks(self) -> typing.AsyncGenerator[bytes, None]:
+        """Read the body in chunks; raise AttemptFailed if it is truncated."""
         stream = typing.cast(typing.AsyncIterable, self._response.stream)
         try:
-            async for piece in stream:
-                yield piece
+            async for chunk in stream:
+                yield chunk
         except http.CALL_FAILURES as cause:
             raise AttemptFailed(type(cause).__name__, sent=True) from cause
 
-    async def read_body(self, most: int) -> bytes:
-        """The whole body; raises AttemptFailed if it is not whole."""
+    async def read_body(self, max_bytes: int) -> bytes:
+        """Read the whole body.
+
+        Raises AttemptFailed if it is truncated or longer than ``max_bytes``.
+        """
         body = bytearray()
-        async with contextlib.aclosing(self.read_pieces()) as pieces:
-            async for piece in pieces:
-                body += piece
-                if len(body) > most:
+        async with contextlib.aclosing(self.read_chunks()) as chunks:
+            async for chunk in chunks:
+                body += chunk
+                if len(body) > max_bytes:
                     raise AttemptFailed("body too large", sent=True)
         return bytes(body)
 
@@ -91,41 +94,41 @@
 @contextlib.asynccontextmanager
 async def open_attempt(
     address: str,
-    forward: Forward,
+    forwarded: ForwardedRequest,
     request_id: str,
     read_response: typing.Callable[
         [int, message_types.Headers], message_types.ResponseMetadata
     ],
     mark: http.SentMark,
-    silence_ms: int | None = None,
-) -> typing.AsyncIterator[Attempt]:
-    """Send a request and wait for the head of its answer.
-
-    Leaving the context, by cancellation too, closes the connection, which
-    makes the endpoint drop the request. With ``silence_ms`` the connection
-    ends when the other side's kernel has been silent for so long. Raises
-    AttemptFailed, and AttemptWithheld where ``mark`` says that the request may
-    not go out.
+    silence_timeout_ms: int | None = None,
+) -> typing.AsyncIterator[ResponseReader]:
+    """Send a request and wait for the status and headers of its response.
+
+    Leaving the context, also by cancellation, closes the connection, which
+    makes the endpoint drop the request. With ``silence_timeout_ms`` the kernel
+    ends the connection after that time without any packet from the other
+    side. Raises AttemptFailed, or AttemptWithheld if ``mark.may_send`` does
+    not allow the request to be sent.
     """
     host, _, port = address.rpartition(":")
     url = httpcore.URL(
         scheme=b"http",
         host=host.encode(),
         port=int(port),
-        target=forward.target,
+        target=forwarded.target,
     )
     connection = httpcore.AsyncHTTPConnection(
         origin=url.origin,
-        network_backend=connections.EndpointBackend(silence_ms),
+        network_backend=connections.EndpointBackend(silence_timeout_ms),
     )
     request = httpcore.Request(
-        forward.method,
+        forwarded.method,
         url,
-        headers=forward.headers,
-        content=forward.body,
+        headers=forwarded.headers,
+        content=forwarded.body,
         extensions={
             "trace": mark.trace,
-            "timeout": {"connect": CONNECT_S},
+            "timeout": {"connect": CONNECT_TIMEOUT_S},
         },
     )
     try:
@@ -138,13 +141,13 @@
             raise AttemptFailed(detail, sent=mark.sent) from cause
         answer = read_response(response.status, list(response.headers))
         if answer.request_id and answer.request_id != request_id:
-            raise AttemptFailed("another request's answer", sent=True)
-        head = Head(
+            raise AttemptFailed("response to another request", sent=True)
+        head = ResponseHead(
             status=response.status,
             headers=list(response.headers),
             metadata=answer,
         )
-        yield Attempt(head, response)
+        yield ResponseReader(head, response)
     finally:
         with trio.CancelScope(shield=True):
             await connection.aclose()
--- a/src/carawayward/forwarding/attempt_timeouts.py
+++ b/src/carawayward/forwarding/attempt_timeouts.py
@@ -1,57 +1,59 @@
-"""How long to wait for an endpoint before another one is asked."""
+"""How long an attempt waits for an endpoint before another one is tried."""
 
 from carawayward.forwarding import table
 
-FOREVER_MS = float("inf")
-# A repeatable request waits for the head of an answer no longer than so many
-# times the route's target before another endpoint is asked.
-HEAD_TARGETS = 2.0
-# Engines queue: under load the first event takes seconds, and to give it up
-# has the whole prompt read again elsewhere, which makes the load worse. So
-# only what would otherwise fail is given up, and only while there is time
-# left for another engine, with so many times what engines take just now.
-STREAM_HEAD_PART = 0.6
-HEAD_MARGIN = 1.5
-# An engine that has lost its power says nothing more on a connection; the
-# kernel's probes find that out after this. The wait for a first text, several
-# times as long, would else be the first to end.
-SILENCE_MS = 3_000
+NO_TIMEOUT_MS = float("inf")
+# A repeatable request waits for the head of a response for this many times the
+# route's target before another endpoint is tried.
+HEAD_TIMEOUT_TARGETS = 2.0
+# Engines queue prompts: under load the first event takes seconds, and a retry
+# processes the whole prompt again elsewhere, which adds to the load. So an
+# attempt times out only after this share of the remaining time, and only if
+# the rest is enough for another engine: the predicted time to the first token
+# times the margin.
+STREAM_HEAD_TIMEOUT_SHARE = 0.6
+PREDICTION_MARGIN = 1.5
+# The kernel's keep-alive probes find an engine that has lost power after this
+# time. Without them its streams would hang until the timeout for the first
+# token, which is several times as long.
+SILENCE_TIMEOUT_MS = 3_000
 
 
 def compute_attempt_timeout_ms(
     route: table.Route, left_ms: float, predicted_ms: float
 ) -> float:
-    """How long to wait for the head of an answer.
+    """How long to wait for the head of a response.
 
-    ``left_ms`` is the caller's time that is left, ``predicted_ms`` what an
-    engine is likely to take.
+    ``left_ms`` is the time to the caller's deadline, ``predicted_ms`` the
+    predicted time to the first token.
     """
     if not route.repeatable:
-        return FOREVER_MS
+        return NO_TIMEOUT_MS
     if route.kind is table.RouteKind.STREAM:
         return _compute_stream_timeout_ms(route, left_ms, predicted_ms)
-    return HEAD_TARGETS * route.target_ms
+    return HEAD_TIMEOUT_TARGETS * route.target_ms
 
 
 def _compute_stream_timeout_ms(
     route: table.Route, left_ms: float, predicted_ms: float
 ) -> float:
-    """How long to wait for the first text of a stream.
+    """How long to wait for the first token of a stream.
 
-    Load: engines are so far behind that first tokens take as long as this
-    wait. Failure prevented: the prompts are read once more elsewhere, too late
-    there as well, and the engines given up are ejected.
+    When the engines' backlog is so long that first tokens take as long as
+    this timeout, there is no timeout. Otherwise the prompts would be processed
+    again elsewhere, too late there as well, and the engines that were given up
+    would be ejected.
     """
-    wait_ms = STREAM_HEAD_PART * left_ms
-    needed_ms = max(route.target_ms, HEAD_MARGIN * predicted_ms)
+    wait_ms = STREAM_HEAD_TIMEOUT_SHARE * left_ms
+    needed_ms = max(route.target_ms, PREDICTION_MARGIN * predicted_ms)
     if wait_ms < route.target_ms or left_ms - wait_ms < needed_ms:
-        return FOREVER_MS
+        return NO_TIMEOUT_MS
     return wait_ms
 
 
-def find_silence_ms(route: table.Route) -> int | None:
+def get_silence_timeout_ms(route: table.Route) -> int | None:
     """How long a connection may be dead before the kernel ends it.
 
-    None where an answer is given up sooner than that.
+    None for routes whose attempts time out sooner than that.
     """
-    return SILENCE_MS if route.kind is table.RouteKind.STREAM else None
+    return SILENCE_TIMEOUT_MS if route.kind is table.RouteKind.STREAM else None
--- a/src/carawayward/forwarding/event_stream.py
+++ b/src/carawayward/forwarding/event_stream.py
@@ -1,23 +1,23 @@
-"""Splits a stream of server-sent events into whole events.
+"""Splits a stream of server-sent events into complete events.
 
-Only whole events are passed on: an endpoint may break off in the middle of
-one, and the rest of the stream may then come from another endpoint.
+Only complete events are relayed: an endpoint may fail in the middle of one,
+and the rest of the stream may then come from another endpoint.
 """
 
 import attrs
 
-# Events of engines are some hundred bytes; one that grows past this is no
-# event, and keeping it would use up the memory of the entry VM.
-MOST_EVENT_BYTES = 1_048_576
+# Engines' events are some hundred bytes. A longer one than this is malformed;
+# buffering it would use up the memory of the entry VM.
+MAX_EVENT_BYTES = 1_048_576
 
 
 class MalformedStream(Exception):
-    """What the endpoint sends is no stream of events."""
+    """The endpoint's response is not a valid stream of events."""
 
 
 @attrs.frozen
 class ServerEvent:
-    """One event as it came, and its id if it has a whole number."""
+    """One event as received; ``number`` is its id if that is an integer."""
 
     raw: bytes
     number: int | None
@@ -25,35 +25,35 @@
 
 @attrs.define
 class EventSplitter:
-    """Collects bytes until an event is whole."""
+    """Buffers bytes until an event is complete."""
 
     pending: bytes = b""
 
     def feed(self, data: bytes) -> list[ServerEvent]:
-        """Take bytes; return the events that are whole now."""
+        """Add received bytes; return the events that they complete."""
         self.pending += data
-        found = []
+        events = []
         while True:
             end = self._find_end()
             if end < 0:
                 break
             raw, self.pending = self.pending[:end], self.pending[end:]
-            found.append(ServerEvent(raw, read_number(raw)))
-        if len(self.pending) > MOST_EVENT_BYTES:
-            raise MalformedStream("an event never ends")
-        return found
+            events.append(ServerEvent(raw, parse_event_id(raw)))
+        if len(self.pending) > MAX_EVENT_BYTES:
+            raise MalformedStream("event too large")
+        return events
 
     def _find_end(self) -> int:
         ends = [
-            self.pending.find(mark) + len(mark)
-            for mark in (b"\n\n", b"\r\n\r\n")
-            if mark in self.pending
+            self.pending.find(delimiter) + len(delimiter)
+            for delimiter in (b"\n\n", b"\r\n\r\n")
+            if delimiter in self.pending
         ]
         return min(ends, default=-1)
 
 
-def read_number(raw: bytes) -> int | None:
-    """The id of an event, None if it has none or it is no number."""
+def parse_event_id(raw: bytes) -> int | None:
+    """Parse an event's id; None if it has none or it is not a number."""
     for line in raw.splitlines():
         name, _, value = line.partition(b":")
         if name == b"id":
--- a/src/carawayward/forwarding/exchange.py
+++ b/src/carawayward/forwarding/exchange.py
@@ -1,4 +1,4 @@
-"""The life of one forwarded request, from the caller's to its last byte."""
+"""Serves one forwarded request: attempts, retries and the final reply."""
 
 import contextlib
 import typing
@@ -24,32 +24,37 @@
 from carawayward.forwarding import work_items
 from carawayward import http_client as http
 
-# A reply goes out this long before the time is up, so that it is with the
-# caller when the time is up.
+# A reply is sent this long before the caller's deadline, so that it arrives
+# in time.
 REPLY_MARGIN_MS = 20.0
-# An endpoint is given less than the caller's own time by this much, so that
-# what it still does in time can be passed on in time.
+# An endpoint's deadline is this much earlier than the caller's, so that a
+# response just within it can still be relayed in time.
 RELAY_MARGIN_MS = 30.0
-# Endpoints that could not be reached are tried besides a route's own bound,
-# which counts runs, for as long as this: silent ones cost the time to connect
-# each, those that refuse a few ms. After it a caller does better to come back.
-UNREACHED_MS = 1_500.0
-# When to come back while nothing is known of when an endpoint will be free:
-# registries tell of a new endpoint within about a second.
-COME_BACK_MS = 1_000.0
+# Attempts that could not connect do not count towards a route's limit, which
+# counts runs; they are limited by the time that they took together. A silent
+# endpoint costs a whole connect timeout, one that refuses the connection a few
+# ms. After this time the caller is told to retry.
+MAX_UNREACHED_MS = 1_500.0
+# Retry-After while it is unknown when an endpoint will be free: a new endpoint
+# is known from the registry within about a second.
+DEFAULT_RETRY_AFTER_MS = 1_000.0
 
 
-# Outcomes by which the request is certain not to have run.
-NOT_RUN = (work_items.Unreached, work_items.Withheld, work_items.Declined)
+# Outcomes after which the request is certain not to have run.
+NOT_RUN_OUTCOMES = (
+    work_items.Unreached,
+    work_items.Withheld,
+    work_items.Declined,
+)
 
 
 @attrs.define(eq=False)
 class Forwarder:
     """Serves forwarded requests.
 
-    ``may_send`` is asked at the instant before a request's first byte goes
-    to an endpoint; ``compute_retry_after_ms`` is when a caller that it
-    withheld should come back.
+    ``may_send`` is called right before the first byte of a request goes to an
+    endpoint. If it returns false, the request is refused, with
+    ``compute_retry_after_ms`` as its Retry-After.
     """
 
     clock: clock_module.Clock
@@ -62,16 +67,16 @@
 
     @property
     def fleet(self) -> fleet_module.Fleet:
-        """What is known of the endpoints."""
+        """The known endpoints."""
         return self.placer.fleet
 
     @property
     def rollouts(self) -> rollouts_module.Rollouts:
-        """The roll-outs under way."""
+        """The current roll-outs."""
         return self.placer.rollouts
 
     async def serve(self, work: work_items.Work, reply: replies.Reply) -> None:
-        """Answer one request; the caller's leaving cancels this call."""
+        """Serve one request; cancelled when the caller disconnects."""
         now_ms = self.clock.now_ms()
         retry_budget.record_request(
             self.placer.find_budget(work.service), now_ms
@@ -79,77 +84,84 @@
         self.placer.choose_model(work)
         left_ms = work.deadline_ms - now_ms - REPLY_MARGIN_MS
         with trio.move_on_after(max(0.0, left_ms) / 1000) as scope:
-            await self._run(work, reply)
+            await self._run_attempts(work, reply)
         if scope.cancelled_caught:
-            await self._give_up(work, reply, "deadline")
+            await self._send_final_failure(work, reply, "deadline")
 
-    async def _run(self, work: work_items.Work, reply: replies.Reply) -> None:
+    async def _run_attempts(
+        self, work: work_items.Work, reply: replies.Reply
+    ) -> None:
         while True:
             choice = self.rollouts.choose(work)
-            place = self.placer.choose(work, choice)
-            if place is None:
-                await self._give_up(work, reply, "no endpoint")
+            endpoint = self.placer.choose(work, choice)
+            if endpoint is None:
+                await self._send_final_failure(work, reply, "no endpoint")
                 return
-            if self._is_hopeless(work):
-                await self._give_up(
-                    work, reply, "engines behind", self._find_return_ms(work)
+            if self._would_miss_deadline(work):
+                await self._send_final_failure(
+                    work,
+                    reply,
+                    "engines behind",
+                    self._estimate_retry_after_ms(work),
                 )
                 return
-            outcome = await self._attempt(work, place, choice, reply)
+            outcome = await self._try_endpoint(work, endpoint, choice, reply)
             if isinstance(outcome, work_items.Delivered):
                 self._log_end(work, outcome.status, "delivered")
                 return
-            self._note(work, place, outcome)
+            self._record_outcome(work, endpoint, outcome)
             if isinstance(outcome, work_items.Withheld):
-                # No other endpoint may have it either.
-                come_back_ms = self.compute_retry_after_ms()
-                await self._give_up(work, reply, outcome.cause, come_back_ms)
+                # The request may not be sent to any other endpoint either.
+                retry_after_ms = self.compute_retry_after_ms()
+                await self._send_final_failure(
+                    work, reply, outcome.cause, retry_after_ms
+                )
                 return
-            if not self._may_try_again(work, outcome):
-                await self._give_up(work, reply, outcome.cause)
+            if not self._may_retry(work, outcome):
+                await self._send_final_failure(work, reply, outcome.cause)
                 return
 
-    def _is_hopeless(self, work: work_items.Work) -> bool:
-        """Whether an answer would begin only after the caller has gone.
+    def _would_miss_deadline(self, work: work_items.Work) -> bool:
+        """Whether the first token is predicted after the deadline.
 
-        Load: engines are further behind than some callers wait. Harm
-        prevented: these wait for nothing, and their prompts are read though
-        nobody is there for the answer.
+        When the engines' backlog is longer than a caller waits, the caller
+        would wait for nothing, and an engine would process a prompt whose
+        caller has gone.
 
-        An engine that has nothing else to read is always tried: if the model
-        was learned wrong, only an answer can put it right.
+        An engine without other queued prompts is always tried: if the latency
+        model is wrong, only a response can correct it.
         """
-        if work.may_have_run or not work.waits:
+        if work.may_have_run or not work.is_queued:
             return False
         left_ms = work.deadline_ms - self.clock.now_ms()
         return self.placer.predict_ttft(work) > left_ms
 
-    def _find_return_ms(self, work: work_items.Work) -> float:
-        """When engines will have read enough to answer a request in time."""
+    def _estimate_retry_after_ms(self, work: work_items.Work) -> float:
+        """Estimate when the backlog is short enough to meet the target."""
         behind_ms = self.placer.predict_ttft(work) - work.route.target_ms
-        return max(COME_BACK_MS, behind_ms)
+        return max(DEFAULT_RETRY_AFTER_MS, behind_ms)
 
-    async def _attempt(
+    async def _try_endpoint(
         self,
         work: work_items.Work,
-        place: fleet_module.Place,
+        endpoint: fleet_module.TrackedEndpoint,
         choice: rollout_state.Choice | None,
         reply: replies.Reply,
     ) -> work_items.Outcome:
-        """Send the request to one endpoint and pass its answer on."""
-        permit = self.fleet.cold_starts.take(place.entry)
-        mark = self._make_mark(work, permit)
+        """Send the request to one endpoint and relay its response."""
+        permit = self.fleet.cold_starts.acquire(endpoint.entry)
+        mark = self._make_sent_mark(work, permit)
         work.mark = mark
-        work.endpoint = place.entry.name
+        work.endpoint = endpoint.entry.name
         began_ms = self.clock.now_ms()
         work.progress = work_items.Progress(
-            began_ms, version=place.entry.version
+            began_ms, version=endpoint.entry.version
         )
-        run = self.rollouts.begin(choice, work, place.entry.version)
-        self.fleet.occupy(place)
-        reading = self.placer.begin_reading(work, place)
+        run = self.rollouts.begin(choice, work, endpoint.entry.version)
+        self.fleet.begin_request(endpoint)
+        reading = self.placer.begin_reading(work, endpoint)
         try:
-            outcome = await self._send(work, place, mark, reply)
+            outcome = await self._send_attempt(work, endpoint, mark, reply)
         except attempt_module.AttemptWithheld:
             outcome = work_items.Withheld("keys may be old")
         except attempt_module.AttemptFailed as fault:
@@ -158,21 +170,21 @@
             else:
                 outcome = work_items.Unreached(fault.detail)
         finally:
-            self.fleet.cold_starts.give_back(permit)
-            self.fleet.vacate(place)
+            self.fleet.cold_starts.release(permit)
+            self.fleet.end_request(endpoint)
             reading.end()
             self.rollouts.end(run, work)
-        if isinstance(outcome, NOT_RUN):
+        if isinstance(outcome, NOT_RUN_OUTCOMES):
             work.mark = None
         if isinstance(outcome, work_items.Delivered):
             took_ms = self.clock.now_ms() - began_ms
-            self.fleet.record_success(place, took_ms)
+            self.fleet.record_success(endpoint, took_ms)
         return outcome
 
-    def _make_mark(
+    def _make_sent_mark(
         self, work: work_items.Work, permit: cold_starts.Permit | None
     ) -> http.SentMark:
-        """A mark that uses the permit when the request goes out."""
+        """Make a mark that records the permit as used on the first byte."""
 
         def may_send() -> bool:
             if not self.may_send(work):
@@ -182,10 +194,10 @@
 
         return http.SentMark(may_send=may_send)
 
-    async def _send(
+    async def _send_attempt(
         self,
         work: work_items.Work,
-        place: fleet_module.Place,
+        endpoint: fleet_module.TrackedEndpoint,
         mark: http.SentMark,
         reply: replies.Reply,
     ) -> work_items.Outcome:
@@ -194,21 +206,23 @@
             with trio.move_on_after(wait_ms / 1000) as waiting:
                 answer = await stack.enter_async_context(
                     attempt_module.open_attempt(
-                        place.entry.address,
-                        self._make_forward(work, place),
+                        endpoint.entry.address,
+                        self._make_forwarded_request(work, endpoint),
                         work.metadata.request_id,
                         self.dialect.read_response,
                         mark,
-                        attempt_timeouts.find_silence_ms(work.route),
+                        attempt_timeouts.get_silence_timeout_ms(work.route),
                     )
                 )
             if waiting.cancelled_caught:
                 if not mark.sent:
-                    return work_items.Unreached("no connection in time")
-                return work_items.Failed("no answer in time")
+                    return work_items.Unreached("connect attempt timed out")
+                return work_items.Failed(
+                    "no response before the attempt timeout"
+                )
             if not answer.head.metadata.declined:
-                self.fleet.record_taken(place)
-            return await self.relay.pass_on(work, answer, reply)
+                self.fleet.record_accepted(endpoint)
+            return await self.relay.relay_response(work, answer, reply)
 
     def _compute_attempt_timeout_ms(self, work: work_items.Work) -> float:
         left_ms = work.deadline_ms - self.clock.now_ms()
@@ -217,58 +231,58 @@
             work.route, left_ms, predicted_ms
         )
 
-    def _make_forward(
-        self, work: work_items.Work, place: fleet_module.Place
-    ) -> attempt_module.Forward:
+    def _make_forwarded_request(
+        self, work: work_items.Work, endpoint: fleet_module.TrackedEndpoint
+    ) -> attempt_module.ForwardedRequest:
         left_ms = work.deadline_ms - self.clock.now_ms() - RELAY_MARGIN_MS
         dispatch = message_types.DispatchMetadata(
-            instance=place.entry.name,
+            instance=endpoint.entry.name,
             remaining_ms=max(1.0, left_ms),
             customer=work.customer,
             model=work.model_name,
             last_event=work.last_event,
         )
         headers = self.dialect.write_request(work.request.headers, dispatch)
-        return attempt_module.Forward(
+        return attempt_module.ForwardedRequest(
             method=work.request.method,
             target=work.request.target,
-            headers=hops.drop_connection_headers(headers),
+            headers=hops.drop_hop_by_hop_headers(headers),
             body=work.request.body,
         )
 
-    def _note(
+    def _record_outcome(
         self,
         work: work_items.Work,
-        place: fleet_module.Place,
+        endpoint: fleet_module.TrackedEndpoint,
         outcome: work_items.Unreached
         | work_items.Withheld
         | work_items.Declined
         | work_items.Unsure
         | work_items.Failed,
     ) -> None:
-        """Learn from an attempt that brought no answer."""
-        name = place.entry.name
+        """Record an attempt whose response was not delivered."""
+        name = endpoint.entry.name
         match outcome:
             case work_items.Unsure():
                 work.runs += 1
                 work.earlier_may_have_run = True
                 work.model = outcome.model
             case work_items.Unreached():
-                work.useless |= {name}
+                work.unusable |= {name}
                 took_ms = self.clock.now_ms() - work.progress.began_ms
-                self.fleet.record_unreached(place, took_ms)
+                self.fleet.record_unreached(endpoint, took_ms)
                 work.unreached_ms += took_ms
-                self.fleet.record_failure(place, outcome.cause)
+                self.fleet.record_failure(endpoint, outcome.cause)
             case work_items.Declined():
-                work.useless |= {name}
-                self.fleet.record_declined(place)
+                work.unusable |= {name}
+                self.fleet.record_declined(endpoint)
                 work.runs += 1
             case work_items.Failed():
-                work.failed_at |= {name}
+                work.failed_endpoints |= {name}
                 work.runs += 1
                 work.earlier_may_have_run = True
                 work.failure = outcome
-                self.fleet.record_failure(place, outcome.cause)
+                self.fleet.record_failure(endpoint, outcome.cause)
         self.measures.count("attempts", outcome=type(outcome).__name__.lower())
         events.log_event(
             events.Event.ATTEMPT_ENDED,
@@ -280,11 +294,11 @@
             last_event=work.last_event,
         )
 
-    def _may_try_again(
+    def _may_retry(
         self, work: work_items.Work, outcome: work_items.Outcome
     ) -> bool:
         if isinstance(outcome, work_items.Unreached):
-            return work.unreached_ms <= UNREACHED_MS
+            return work.unreached_ms <= MAX_UNREACHED_MS
         if work.runs >= work.route.max_attempts:
             return False
         if (
@@ -301,33 +315,37 @@
         retry_budget.spend(budget, now_ms)
         return True
 
-    async def _give_up(
+    async def _send_final_failure(
         self,
         work: work_items.Work,
         reply: replies.Reply,
         cause: str,
-        come_back_ms: float = COME_BACK_MS,
+        retry_after_ms: float = DEFAULT_RETRY_AFTER_MS,
     ) -> None:
-        """Give the final answer of a request that has none of its own."""
-        if reply.begun:
-            # Not finishing the body shows the caller that it is broken off.
+        """Send the final reply to a request whose attempts have failed.
+
+        If the last failed attempt has a response, that is relayed. Otherwise
+        503 says that the request has not run, 502 or 504 that it may have.
+        """
+        if reply.started:
+            # An unfinished body shows the caller that the reply is truncated.
             self._log_end(work, 0, cause)
             return
         failure = work.failure
         if failure is not None and failure.head is not None:
             status = failure.head.status
-            headers = hops.keep_headers(failure.head.headers)
+            headers = hops.select_response_headers(failure.head.headers)
             await replies.send_response(reply, status, headers, failure.body)
         elif work.may_have_run:
             status = 504 if cause == "deadline" else 502
             await replies.send_response(reply, status, [], b"")
         else:
             status = 503
-            await replies.refuse(reply, status, come_back_ms)
+            await replies.refuse(reply, status, retry_after_ms)
         self._log_end(work, status, cause)
 
-    def record_left(self, work: work_items.Work) -> None:
-        """The caller has left before it had its whole answer."""
+    def record_caller_left(self, work: work_items.Work) -> None:
+        """Log that the caller left before it had the whole response."""
         self._log_end(work, 0, "caller left")
 
     def _log_end(self, work: work_items.Work, status: int, cause: str) -> None:
--- a/src/carawayward/forwarding/fleet.py
+++ b/src/carawayward/forwarding/fleet.py
@@ -1,4 +1,4 @@
-"""What this entry VM has learned of each endpoint, kept for placing work."""
+"""Tracks the load and health of all endpoints, for placement."""
 
 import random
 
@@ -15,29 +15,29 @@
 from carawayward.forwarding import cold_starts as cold_starts_module
 from carawayward.forwarding import message_types
 
-# A connection that failed sooner was turned away by a machine that is there.
-SILENT_CONNECT_MS = 400.0
+# A connection attempt that fails sooner was refused by a machine that is up.
+MIN_SILENT_CONNECT_MS = 400.0
 
-Identity = tuple[str, int | None]
+EndpointIdentity = tuple[str, int | None]
 
 
 @attrs.frozen
-class Want:
-    """Which endpoints may serve: of a service, and of a version or not.
+class EndpointFilter:
+    """Selects endpoints by service and version.
 
-    ``version`` empty is any; with ``other`` set, any but this one. ``most``
-    bounds to how many of the endpoints work goes, None for all.
+    An empty ``version`` selects all; with ``other`` set, all but this one are
+    selected. ``max_endpoints`` limits their number; None is no limit.
     """
 
     service: str
     version: str = ""
     other: bool = False
-    most: int | None = None
+    max_endpoints: int | None = None
 
 
 @attrs.define(eq=False, kw_only=True)
-class Place:
-    """An endpoint and what is known of its load and health."""
+class TrackedEndpoint:
+    """A registry entry with the endpoint's load and health."""
 
     entry: message_types.EndpointEntry
     view: placement.View
@@ -45,17 +45,19 @@
 
 @attrs.define(eq=False)
 class Fleet:
-    """Views of all listed endpoints.
+    """The load and health of all endpoints in the registry.
 
-    A view belongs to one start of an endpoint: what was learned of its
-    caches and its health before a restart tells nothing of the next.
+    They are reset when an endpoint restarts: its earlier health and cache
+    contents say nothing about the new process.
     """
 
     board: board_module.ForwardingBoard
     clock: clock_module.Clock
     draw: placement.Draw = random.randrange
-    places: dict[str, Place] = attrs.field(factory=dict)
-    pools: dict[Want, placement.Candidates] = attrs.field(factory=dict)
+    tracked: dict[str, TrackedEndpoint] = attrs.field(factory=dict)
+    pools: dict[EndpointFilter, placement.Candidates] = attrs.field(
+        factory=dict
+    )
     generation: int = -1
     loads: engine_load.EngineLoads = attrs.field(
         factory=engine_load.EngineLoads
@@ -66,21 +68,21 @@
     quarantine: quarantine_module.Quarantine = attrs.field(
         factory=quarantine_module.Quarantine
     )
-    reached_ms: dict[str, float] = attrs.field(factory=dict)
-    cold_starts: cold_starts_module.ColdStarts = attrs.field(init=False)
+    last_reached_ms: dict[str, float] = attrs.field(factory=dict)
+    cold_starts: cold_starts_module.ColdStartLimiter = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.cold_starts = cold_starts_module.ColdStarts(
+        self.cold_starts = cold_starts_module.ColdStartLimiter(
             self.board, self.clock
         )
 
     def find_cache_tokens(self, name: str) -> int:
-        """How many tokens an engine's memory holds; 0 if it is unknown."""
-        place = self.places.get(name)
+        """Return an engine's cache size in tokens; 0 if it is unknown."""
+        endpoint = self.tracked.get(name)
         table = self.board.table
-        if place is None or table is None:
+        if endpoint is None or table is None:
             return 0
-        service = table.services.get(place.entry.service)
+        service = table.services.get(endpoint.entry.service)
         if service is None or service.engine is None:
             return 0
         return service.engine.cache_tokens
@@ -92,7 +94,7 @@
         excluded: frozenset[str],
         remote_weight: float = 0.0,
     ) -> engine_load.Choice | None:
-        """The engine that would have a prompt read first, or None."""
+        """Choose the engine that would finish reading a prompt first."""
         now_ms = self.clock.now_ms()
         return engine_load.choose(
             self.loads,
@@ -111,7 +113,7 @@
         )
 
     def get_latency_model(self, service: str) -> engine_load.LatencyModel:
-        """How fast a service's engines read prompts."""
+        """Return the model of how fast a service's engines read prompts."""
         return self.latency_models.setdefault(
             service, engine_load.LatencyModel()
         )
@@ -119,7 +121,7 @@
     def find_backlog_ms(
         self, service: str, pool: placement.Candidates
     ) -> float:
-        """How far engines are behind with reading prompts, on average."""
+        """Estimate the engines' mean backlog of unread prompts, in ms."""
         now_ms = self.clock.now_ms()
         names = [
             view.name
@@ -129,32 +131,37 @@
         weight = engine_load.compute_mean_weight(self.loads, names, now_ms)
         return weight * self.get_latency_model(service).token_ms
 
-    def find_pool(self, want: Want) -> placement.Candidates:
-        """The endpoints that may serve."""
+    def find_pool(
+        self, endpoint_filter: EndpointFilter
+    ) -> placement.Candidates:
+        """Return the endpoints that a filter selects."""
         self._sync()
-        pool = self.pools.get(want)
+        pool = self.pools.get(endpoint_filter)
         if pool is None:
-            views = self._list_views(want)
+            views = self._list_views(endpoint_filter)
             pool = placement.Candidates.from_views(views)
-            self.pools[want] = pool
+            self.pools[endpoint_filter] = pool
         return pool
 
-    def _list_views(self, want: Want) -> list[placement.View]:
+    def _list_views(
+        self, endpoint_filter: EndpointFilter
+    ) -> list[placement.View]:
         views = [
-            place.view
-            for place in self.places.values()
-            if place.entry.service == want.service
-            and not place.entry.leaving
-            and place.entry.failure_domain not in self.board.evacuated
+            endpoint.view
+            for endpoint in self.tracked.values()
+            if endpoint.entry.service == endpoint_filter.service
+            and not endpoint.entry.leaving
+            and endpoint.entry.failure_domain not in self.board.evacuated
             and (
-                not want.version
-                or (place.entry.version == want.version) != want.other
+                not endpoint_filter.version
+                or (endpoint.entry.version == endpoint_filter.version)
+                != endpoint_filter.other
             )
         ]
-        if want.most is not None:
-            # By rank, so that all entry VMs choose the same endpoints.
+        if endpoint_filter.max_endpoints is not None:
+            # In the order of a hash, so that all entry VMs choose the same.
             views.sort(key=lambda view: placement.hash_key(view.name))
-            views = views[: want.most]
+            views = views[: endpoint_filter.max_endpoints]
         return views
 
     def choose(
@@ -162,8 +169,8 @@
         pool: placement.Candidates,
         key: int | None,
         excluded: frozenset[str],
-    ) -> Place | None:
-        """An endpoint with room, or None."""
+    ) -> TrackedEndpoint | None:
+        """Choose an endpoint with room for a request; None if all are full."""
         view = placement.choose(
             pool,
             key,
@@ -172,43 +179,48 @@
             self.draw,
             excluded,
         )
-        return self.places.get(view.name) if view is not None else None
+        return self.tracked.get(view.name) if view is not None else None
 
-    def occupy(self, place: Place) -> None:
-        """Note that a request goes to an endpoint."""
-        place.view.in_flight += 1
-        health_module.begin_probe(place.view.health)
+    def begin_request(self, endpoint: TrackedEndpoint) -> None:
+        """Record that a request is about to be sent to an endpoint."""
+        endpoint.view.in_flight += 1
+        health_module.begin_probe(endpoint.view.health)
         quarantine_module.begin_try(
-            self.quarantine, place.entry.name, self.clock.now_ms()
+            self.quarantine, endpoint.entry.name, self.clock.now_ms()
         )
 
-    def vacate(self, place: Place) -> None:
-        """Note that a request has left an endpoint."""
-        place.view.in_flight -= 1
+    def end_request(self, endpoint: TrackedEndpoint) -> None:
+        """Record that a request at an endpoint has ended."""
+        endpoint.view.in_flight -= 1
 
     def list_quarantined(self) -> frozenset[str]:
-        """Endpoints that would not take work a moment ago."""
+        """Return endpoints that recently declined or could not be reached."""
         now_ms = self.clock.now_ms()
         return quarantine_module.list_quarantined(self.quarantine, now_ms)
 
-    def record_taken(self, place: Place) -> None:
-        """An endpoint has taken a request."""
-        quarantine_module.record_taken(self.quarantine, place.entry.name)
-        self.reached_ms[place.entry.failure_domain] = self.clock.now_ms()
+    def record_accepted(self, endpoint: TrackedEndpoint) -> None:
+        """Record that an endpoint has accepted a request."""
+        quarantine_module.record_taken(self.quarantine, endpoint.entry.name)
+        self.last_reached_ms[endpoint.entry.failure_domain] = (
+            self.clock.now_ms()
+        )
 
-    def record_unreached(self, place: Place, took_ms: float) -> None:
-        """No connection to an endpoint came about, after so long.
+    def record_unreached(
+        self, endpoint: TrackedEndpoint, took_ms: float
+    ) -> None:
+        """Record a failed connection attempt that took ``took_ms``.
 
-        If nothing has come from its failure domain in all that time either,
-        the domain may be cut off, and its other endpoints are passed over too.
+        If it timed out in another failure domain, and no endpoint there has
+        accepted a request in that time either, the domain may be partitioned,
+        and all its endpoints are quarantined.
         """
-        name, now_ms = place.entry.name, self.clock.now_ms()
+        name, now_ms = endpoint.entry.name, self.clock.now_ms()
         quarantine_module.record_unreached(self.quarantine, name, now_ms)
-        domain = place.entry.failure_domain
-        last_seen_ms = self.reached_ms.get(domain, float("-inf"))
+        domain = endpoint.entry.failure_domain
+        last_seen_ms = self.last_reached_ms.get(domain, float("-inf"))
         if (
             domain == self.board.failure_domain
-            or took_ms < SILENT_CONNECT_MS
+            or took_ms < MIN_SILENT_CONNECT_MS
             or last_seen_ms > now_ms - took_ms
         ):
             return
@@ -216,65 +228,69 @@
             self.quarantine,
             [
                 each.entry.name
-                for each in self.places.values()
+                for each in self.tracked.values()
                 if each.entry.failure_domain == domain
             ],
             now_ms,
         )
 
-    def record_declined(self, place: Place) -> None:
-        """An endpoint would not run a request."""
-        name, now_ms = place.entry.name, self.clock.now_ms()
+    def record_declined(self, endpoint: TrackedEndpoint) -> None:
+        """Record that an endpoint has declined a request."""
+        name, now_ms = endpoint.entry.name, self.clock.now_ms()
         quarantine_module.record_declined(self.quarantine, name, now_ms)
 
-    def record_success(self, place: Place, unit_ms: float) -> None:
-        """Learn from a whole answer."""
-        if health_module.record_success(place.view.health, unit_ms):
+    def record_success(
+        self, endpoint: TrackedEndpoint, unit_ms: float
+    ) -> None:
+        """Record a complete response."""
+        if health_module.record_success(endpoint.view.health, unit_ms):
             events.log_event(
-                events.Event.ENDPOINT_BACK, endpoint=place.entry.name
+                events.Event.ENDPOINT_BACK, endpoint=endpoint.entry.name
             )
 
-    def record_failure(self, place: Place, cause: str) -> None:
-        """Learn from a failure that the endpoint is to blame for."""
-        health_module.record_failure(place.view.health)
-        pool = self.find_pool(Want(place.entry.service))
+    def record_failure(self, endpoint: TrackedEndpoint, cause: str) -> None:
+        """Record a failure of the endpoint; eject it if it is an outlier."""
+        health_module.record_failure(endpoint.view.health)
+        pool = self.find_pool(EndpointFilter(endpoint.entry.service))
         healths = [view.health for view in pool.views]
         if health_module.judge(
-            place.view.health, healths, self.clock.now_ms()
+            endpoint.view.health, healths, self.clock.now_ms()
         ):
             events.log_event(
                 events.Event.ENDPOINT_EJECTED,
-                endpoint=place.entry.name,
+                endpoint=endpoint.entry.name,
                 cause=cause,
             )
 
     def _sync(self) -> None:
-        """Take over what the registry has changed since the last call."""
+        """Apply the changes to the registry since the last call."""
         if self.generation == self.board.generation:
             return
         self.generation = self.board.generation
         self.pools.clear()
         kept = {}
         for name, entry in self.board.endpoints.items():
-            place = self.places.get(name)
-            if place is None or _identify(place.entry) != _identify(entry):
-                place = Place(entry=entry, view=_make_view(entry))
+            endpoint = self.tracked.get(name)
+            if endpoint is None or _identify(endpoint.entry) != _identify(
+                entry
+            ):
+                endpoint = TrackedEndpoint(entry=entry, view=_make_view(entry))
                 self.loads.cached.pop(name, None)
                 quarantine_module.record_taken(self.quarantine, name)
-            place.entry = entry
-            kept[name] = place
-        self.places = kept
+            endpoint.entry = entry
+            kept[name] = endpoint
+        self.tracked = kept
         engine_load.forget_engines(self.loads, kept)
         for name in self.quarantine.endpoints.keys() - kept.keys():
             quarantine_module.record_taken(self.quarantine, name)
 
 
-def _identify(entry: message_types.EndpointEntry) -> Identity:
+def _identify(entry: message_types.EndpointEntry) -> EndpointIdentity:
     return entry.address, entry.born
 
 
 def _make_view(entry: message_types.EndpointEntry) -> placement.View:
-    """A view whose limit is what the endpoint says it can run at once."""
+    """Make a view whose concurrency limit is the endpoint's slot count."""
     return placement.View(
         name=entry.name,
         failure_domain=entry.failure_domain,
--- a/src/carawayward/forwarding/hops.py
+++ b/src/carawayward/forwarding/hops.py
@@ -1,9 +1,9 @@
-"""Headers as they go on to the next connection."""
+"""Removes the headers that must not be forwarded."""
 
 from carawayward.forwarding import message_types
 
-# Headers that concern one connection only (RFC 9110, 7.6.1).
-CONNECTION_HEADERS = frozenset(
+# Hop-by-hop headers: they apply to a single connection (RFC 9110, 7.6.1).
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -17,21 +17,26 @@
 )
 
 
-def drop_connection_headers(
+def drop_hop_by_hop_headers(
     headers: message_types.Headers,
 ) -> message_types.Headers:
-    """Headers without those that concern one connection only."""
-    named = set(CONNECTION_HEADERS)
+    """Remove hop-by-hop headers, also those that Connection names."""
+    dropped = set(HOP_BY_HOP_HEADERS)
     for name, value in headers:
         if name.lower() == b"connection":
-            named.update(each.strip().lower() for each in value.split(b","))
-    return [pair for pair in headers if pair[0].lower() not in named]
+            dropped.update(each.strip().lower() for each in value.split(b","))
+    return [pair for pair in headers if pair[0].lower() not in dropped]
 
 
-def keep_headers(headers: message_types.Headers) -> message_types.Headers:
-    """An endpoint's headers as they go to the caller."""
+def select_response_headers(
+    headers: message_types.Headers,
+) -> message_types.Headers:
+    """Select the headers of an endpoint's response that the caller gets.
+
+    Content-Length is left out: the reply is framed anew.
+    """
     return [
         pair
-        for pair in drop_connection_headers(headers)
+        for pair in drop_hop_by_hop_headers(headers)
         if pair[0].lower() != b"content-length"
     ]
--- a/src/carawayward/forwarding/message_types.py
+++ b/src/carawayward/forwarding/message_types.py
@@ -1,8 +1,7 @@
-"""What headers say, in the product's own terms, and the port to read them.
+"""Contents of headers and store records, independent of their encoding.
 
-Deployments name the same facts by different headers. A ``Dialect`` reads and
-writes them; nothing else in the product knows a header's name, but for the
-standard ones of HTTP.
+Deployments use different header names for the same values. A ``Dialect`` reads
+and writes them; only standard HTTP headers are named anywhere else.
 """
 
 import enum
@@ -15,7 +14,7 @@
 
 @attrs.frozen
 class PromptPart:
-    """A part of a prompt that requests may share, with its tokens."""
+    """A part of a prompt that requests may share, and its token count."""
 
     name: str
     tokens: int
@@ -23,11 +22,11 @@
 
 @attrs.frozen(kw_only=True)
 class RequestMetadata:
-    """What a caller's headers say.
+    """The values of a caller's headers.
 
-    ``deadline_ms`` is how long the caller waits from now on. ``model`` is
-    empty if none is named, ``ANY_MODEL`` if the system is to choose.
-    Requests of one ``session`` stay on one version. A resumed stream goes on
+    ``deadline_ms`` is relative to the arrival of the request. ``model`` is
+    empty if none is named, ``ANY_MODEL`` if the router is to choose one.
+    Requests of one ``session`` stay on one version. A resumed stream starts
     after ``last_event``.
     """
 
@@ -47,11 +46,11 @@
 
 @attrs.frozen(kw_only=True)
 class DispatchMetadata:
-    """What the system adds to a request that goes to an endpoint.
+    """The values that the router adds to a request to an endpoint.
 
-    ``remaining_ms`` is how long the endpoint may take; ``instance`` is the
-    endpoint's incarnation, so that another process at a reused address
-    turns the request away.
+    ``remaining_ms`` is the endpoint's deadline, relative to the sending.
+    ``instance`` names the endpoint's process, so that another process at a
+    reused address declines the request.
     """
 
     instance: str
@@ -64,11 +63,11 @@
 
 @attrs.frozen(kw_only=True)
 class ResponseMetadata:
-    """What an endpoint's headers say.
+    """The values of an endpoint's response headers.
 
-    ``declined`` is the endpoint's word that it did not and will not run the
-    request. ``confidence`` is the model's own opinion of its answer, 0 to
-    100. Without ``signed`` a success is not the endpoint's own.
+    ``declined`` says that the endpoint did not and will not run the request.
+    ``confidence`` is the model's own rating of its answer, 0 to 100. A success
+    that is not ``signed`` does not come from the endpoint.
     """
 
     request_id: str = ""
@@ -79,10 +78,10 @@
 
 @attrs.frozen(kw_only=True)
 class Dialect:
-    """How a deployment's headers are read and written.
+    """Reads and writes the headers of one deployment.
 
-    ``read_request`` raises BadRequest for headers that cannot be read;
-    ``find_id`` gives the request's id for log lines, empty if it has none.
+    ``read_request`` raises BadRequest for invalid headers. ``find_id`` returns
+    the request's id for log lines, empty if it has none.
     """
 
     find_id: typing.Callable[[Headers], str]
@@ -94,11 +93,11 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointEntry:
-    """What the registry says of one endpoint.
+    """An endpoint's entry in the registry.
 
-    ``born`` tells one start of an endpoint from the next under the same
-    name; None where the registry does not say. ``cold_ms`` is how much
-    longer it was to be cold when it wrote this, None if it does not say.
+    ``born`` distinguishes the starts of an endpoint under the same name; None
+    if the registry does not give it. ``cold_ms`` is the remaining cold-start
+    time when the endpoint wrote its entry, None if it does not give one.
     """
 
     name: str
@@ -114,9 +113,9 @@
 
 @attrs.frozen
 class Evacuation:
-    """An operator's wish about a failure domain's endpoints.
+    """An operator's order to evacuate a failure domain.
 
-    They get no new requests until it is ``lifted``.
+    Its endpoints get no new requests until the order is ``lifted``.
     """
 
     failure_domain: str
@@ -125,7 +124,7 @@
 
 @attrs.frozen(kw_only=True)
 class RolloutOrder:
-    """An operator's wish to move a service to another version.
+    """An operator's order to move a service to another version.
 
     ``duration_ms`` counts from when the order was written.
     """
@@ -136,7 +135,7 @@
 
 
 class RolloutState(enum.Enum):
-    """How far a roll-out is; the last two are final."""
+    """The state of a roll-out; the last two are final."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -145,7 +144,7 @@
 
 @attrs.frozen
 class RolloutStatus:
-    """What operators are told of a roll-out."""
+    """The status of a roll-out as published for operators."""
 
     service: str
     version: str
--- a/src/carawayward/forwarding/placing.py
+++ b/src/carawayward/forwarding/placing.py
@@ -1,4 +1,4 @@
-"""Where a forwarded request goes: version, endpoint and model."""
+"""Chooses the endpoint and model for a forwarded request."""
 
 import typing
 
@@ -18,14 +18,14 @@
 from carawayward.forwarding import rollouts as rollouts_module
 from carawayward.forwarding import work_items
 
-# Escalations to a larger model leave this part of the extra runs to requests
-# whose endpoint failed.
+# Share of the retry budget that escalations to a larger model leave to
+# requests whose endpoint failed.
 ESCALATION_RESERVE = 0.3
 
 
 @attrs.define(eq=False)
 class Placer:
-    """Puts the decisions of placement together for one request at a time."""
+    """Applies the placement decisions to one request at a time."""
 
     clock: clock_module.Clock
     fleet: fleet_module.Fleet
@@ -36,7 +36,7 @@
     budgets: dict[str, retry_budget.RetryBudget] = attrs.field(factory=dict)
 
     def find_budget(self, service: str) -> retry_budget.RetryBudget:
-        """The extra runs of a service."""
+        """Return the retry budget of a service."""
         budget = self.budgets.get(service)
         if budget is None:
             budget = self.budgets[service] = self.make_budget()
@@ -44,7 +44,7 @@
         return budget
 
     def choose_model(self, work: work_items.Work) -> None:
-        """Choose the model to begin with, where that is left to us."""
+        """Choose the first model to ask, if the caller leaves it open."""
         if (
             work.metadata.model != message_types.ANY_MODEL
             or not work.route.models
@@ -69,14 +69,16 @@
         )
 
     def _compute_overload(self, work: work_items.Work) -> escalation.Overload:
-        """How much speaks against the largest model for a request."""
+        """Compute the overload that speaks against using the largest model."""
         prompt = work_items.make_prompt(work, work.route.models[-1])
         if prompt is None:
             return escalation.Overload()
-        closed = self.fleet.cold_starts.list_closed()
-        excluded = work.useless | closed | self.fleet.list_quarantined()
-        for want in self._list_wants(work, self.rollouts.choose(work)):
-            pool = self.fleet.find_pool(want)
+        exhausted = self.fleet.cold_starts.list_exhausted()
+        excluded = work.unusable | exhausted | self.fleet.list_quarantined()
+        for endpoint_filter in self._list_filters(
+            work, self.rollouts.choose(work)
+        ):
+            pool = self.fleet.find_pool(endpoint_filter)
             engine = self._choose_engine(work, pool, prompt, excluded)
             if engine is None:
                 continue
@@ -92,26 +94,30 @@
 
     def choose(
         self, work: work_items.Work, choice: rollout_state.Choice | None
-    ) -> fleet_module.Place | None:
-        """Choose an endpoint: of the version wanted, else of the other."""
-        wants = self._list_wants(work, choice)
-        useless = work.useless | self.fleet.cold_starts.list_closed()
-        tried = useless | work.failed_at
+    ) -> fleet_module.TrackedEndpoint | None:
+        """Choose an endpoint, preferably of the version of ``choice``.
+
+        Endpoints that are quarantined or have failed this request are chosen
+        only if there is no other of either version.
+        """
+        endpoint_filters = self._list_filters(work, choice)
+        unusable = work.unusable | self.fleet.cold_starts.list_exhausted()
+        tried = unusable | work.failed_endpoints
         quarantined = self.fleet.list_quarantined()
-        for excluded in (tried | quarantined, tried, useless):
-            for want in wants:
-                place = self._place_among(work, want, excluded)
-                if place is not None:
-                    return place
+        for excluded in (tried | quarantined, tried, unusable):
+            for endpoint_filter in endpoint_filters:
+                endpoint = self._choose_among(work, endpoint_filter, excluded)
+                if endpoint is not None:
+                    return endpoint
         return None
 
-    def _place_among(
+    def _choose_among(
         self,
         work: work_items.Work,
-        want: fleet_module.Want,
+        endpoint_filter: fleet_module.EndpointFilter,
         excluded: frozenset[str],
-    ) -> fleet_module.Place | None:
-        pool = self.fleet.find_pool(want)
+    ) -> fleet_module.TrackedEndpoint | None:
+        pool = self.fleet.find_pool(endpoint_filter)
         prompt = work_items.make_prompt(work)
         if prompt is None:
             return self.fleet.choose(pool, None, excluded)
@@ -119,8 +125,8 @@
         if engine is None:
             return None
         work.backlog = engine.weight
-        work.waits = engine.ahead > 0.0
-        return self.fleet.places.get(engine.name)
+        work.is_queued = engine.ahead > 0.0
+        return self.fleet.tracked.get(engine.name)
 
     def _choose_engine(
         self,
@@ -134,40 +140,40 @@
         )
         return self.fleet.choose_engine(pool, prompt, excluded, remote_weight)
 
-    def _list_wants(
+    def _list_filters(
         self, work: work_items.Work, choice: rollout_state.Choice | None
-    ) -> list[fleet_module.Want]:
+    ) -> list[fleet_module.EndpointFilter]:
         if choice is None:
-            return [fleet_module.Want(work.service)]
+            return [fleet_module.EndpointFilter(work.service)]
         version = choice.rollout.order.version
-        new = fleet_module.Want(work.service, version)
-        old = fleet_module.Want(work.service, version, other=True)
+        new = fleet_module.EndpointFilter(work.service, version)
+        old = fleet_module.EndpointFilter(work.service, version, other=True)
         if not choice.new:
             return [old] if choice.strict else [old, new]
         count = len(self.fleet.find_pool(new).views)
-        most = self.rollouts.count_endpoints(choice, count)
-        return [attrs.evolve(new, most=most), old]
+        max_endpoints = self.rollouts.count_endpoints(choice, count)
+        return [attrs.evolve(new, max_endpoints=max_endpoints), old]
 
     def begin_reading(
-        self, work: work_items.Work, place: fleet_module.Place
+        self, work: work_items.Work, endpoint: fleet_module.TrackedEndpoint
     ) -> work_items.Reading:
-        """Count a prompt as outstanding at its engine."""
+        """Add a prompt to its engine's outstanding load."""
         prompt = work_items.make_prompt(work)
-        reading = work_items.Reading(self.reporter, place.entry.name, 0.0)
+        reading = work_items.Reading(self.reporter, endpoint.entry.name, 0.0)
         if prompt is not None:
             unread = engine_load.count_unread(
-                self.reporter.loads, place.entry.name, prompt
+                self.reporter.loads, endpoint.entry.name, prompt
             )
             reading.weight = unread * prompt.model_weight
-            self.reporter.add_cached(place.entry.name, prompt.parts[:-1])
+            self.reporter.add_cached(endpoint.entry.name, prompt.parts[:-1])
         work.reading = reading if prompt is not None else None
         reading.begin()
         return reading
 
     def predict_ttft(self, work: work_items.Work) -> float:
-        """When the first text comes from where the work was placed, in ms.
+        """Predict the time to the first token at the chosen engine, in ms.
 
-        0 for what no engine reads.
+        0 if the request does not go to an engine.
         """
         if not work.backlog:
             return 0.0
@@ -175,7 +181,7 @@
         return engine_load.predict_ttft(model, work.backlog)
 
     def observe_ttft(self, work: work_items.Work) -> None:
-        """Learn from a prompt that its engine has read."""
+        """Record the time to the first token and update the latency model."""
         progress = work.progress
         progress.ttft_ms = took_ms = self.clock.now_ms() - progress.began_ms
         if work.reading is None:
@@ -195,14 +201,14 @@
             confidence=work.confidence,
         )
         if not self.rollouts.is_on_trial(work.service, progress.version):
-            # A version that learned predictions follow would pass for good
-            # however slow it is.
+            # A version on trial is judged by the predictions. If they followed
+            # its latency, it would pass however slow it is.
             model = self.fleet.get_latency_model(work.service)
             engine_load.observe_ttft(model, work.backlog, took_ms)
         self.measures.observe("head", took_ms, model=work.model_name)
 
-    def find_larger(self, work: work_items.Work) -> int | None:
-        """The model to ask instead, before anything reached the caller."""
+    def find_larger_model(self, work: work_items.Work) -> int | None:
+        """Return the larger model to ask instead; None to keep the answer."""
         if work.model is None:
             return None
         if work.runs + 1 >= work.route.max_attempts:
--- a/src/carawayward/forwarding/relaying.py
+++ b/src/carawayward/forwarding/relaying.py
@@ -1,4 +1,4 @@
-"""Passes an endpoint's answer on to the caller, as far as it can be used."""
+"""Relays an endpoint's response to the caller, or says why it cannot."""
 
 import contextlib
 
@@ -13,106 +13,124 @@
 from carawayward.forwarding import table
 from carawayward.forwarding import work_items
 
-# Plain answers are passed on once they are whole, so that one that breaks
-# off can be asked for again; this bounds the memory of one.
-MOST_BODY_BYTES = 4_194_304
-# Statuses by which callers are told that a request has not run and will not.
+# A plain response is relayed once it is complete, so that a truncated one can
+# be retried; this limits the memory of each.
+MAX_BODY_BYTES = 4_194_304
+# Statuses that tell callers that a request has not run and will not.
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
-# A stream that pauses for so many of the longest pauses that still count as
-# in time is read on from another endpoint.
-GAP_TARGETS = 2.0
+# A stream without data for this many times the route's gap target is resumed
+# from another endpoint.
+GAP_TIMEOUT_TARGETS = 2.0
 
 
 @attrs.define(eq=False)
 class Relay:
-    """Judges answers and passes on those that are the caller's."""
+    """Relays those responses that the caller may have."""
 
     placer: placing.Placer
 
-    async def pass_on(
+    async def relay_response(
         self,
         work: work_items.Work,
-        answer: attempt_module.Attempt,
+        answer: attempt_module.ResponseReader,
         reply: replies.Reply,
     ) -> work_items.Outcome:
-        """Pass an answer on, or say why it cannot be."""
+        """Relay a response, or return the reason why it cannot be relayed."""
         head = answer.head
         if head.metadata.declined:
-            return work_items.Declined(f"declined with {head.status}")
+            return work_items.Declined(f"declined with status {head.status}")
         if head.succeeded and not head.metadata.signed:
-            return work_items.Failed("answer without its signature")
+            return work_items.Failed(
+                "success without the endpoint's signature"
+            )
         if head.succeeded and work.route.kind is table.RouteKind.STREAM:
-            return await self._relay_events(work, answer, reply)
+            return await self._relay_stream(work, answer, reply)
         if head.status in NOT_RUN_STATUSES:
-            # The caller reads these as "not run, come back", which only the
-            # endpoint's word could prove.
-            return work_items.Failed(f"status {head.status} without proof")
-        body = await answer.read_body(MOST_BODY_BYTES)
+            # The caller takes these to mean that the request has not run and
+            # may be retried. Only a declined response proves that.
+            return work_items.Failed(
+                f"status {head.status} not marked as declined"
+            )
+        body = await answer.read_body(MAX_BODY_BYTES)
         work.progress.status = head.status
         if head.status >= 500 and work.route.repeatable:
             return work_items.Failed(f"status {head.status}", head, body)
-        if reply.begun:
-            return work_items.Failed(f"status {head.status} amid a stream")
+        if reply.started:
+            return work_items.Failed(
+                f"status {head.status} on resuming a stream"
+            )
         await replies.send_response(
-            reply, head.status, hops.keep_headers(head.headers), body
+            reply,
+            head.status,
+            hops.select_response_headers(head.headers),
+            body,
         )
         return work_items.Delivered(head.status)
 
-    async def _relay_events(
+    async def _relay_stream(
         self,
         work: work_items.Work,
-        answer: attempt_module.Attempt,
+        answer: attempt_module.ResponseReader,
         reply: replies.Reply,
     ) -> work_items.Outcome:
-        """Pass whole events on as they come."""
+        """Relay complete events as they arrive."""
         work.confidence = answer.head.metadata.confidence
         self.placer.observe_ttft(work)
-        larger = None if reply.begun else self.placer.find_larger(work)
-        if larger is not None:
+        larger_model = (
+            None if reply.started else self.placer.find_larger_model(work)
+        )
+        if larger_model is not None:
             work.progress.status = answer.head.status
-            return work_items.Unsure(f"confidence {work.confidence}", larger)
+            return work_items.Unsure(
+                f"confidence {work.confidence}", larger_model
+            )
         splitter = event_stream.EventSplitter()
         gap_ms = work.route.gap_target_ms
-        gap_s = GAP_TARGETS * gap_ms / 1000 if gap_ms else float("inf")
-        async with contextlib.aclosing(answer.read_pieces()) as pieces:
+        gap_timeout_s = (
+            GAP_TIMEOUT_TARGETS * gap_ms / 1000 if gap_ms else float("inf")
+        )
+        async with contextlib.aclosing(answer.read_chunks()) as chunks:
             while True:
-                piece = b""
-                with trio.move_on_after(gap_s) as pause:
-                    piece = await anext(pieces, b"")
-                if pause.cancelled_caught:
-                    return work_items.Failed("stream went silent")
-                if not piece:
+                chunk = b""
+                with trio.move_on_after(gap_timeout_s) as gap_scope:
+                    chunk = await anext(chunks, b"")
+                if gap_scope.cancelled_caught:
+                    return work_items.Failed("stream idle timeout")
+                if not chunk:
                     break
                 try:
-                    found = splitter.feed(piece)
+                    events = splitter.feed(chunk)
                 except event_stream.MalformedStream as fault:
                     return work_items.Failed(str(fault))
-                for event in found:
-                    broken = await self._relay(work, answer, event, reply)
-                    if broken is not None:
-                        return broken
-        if splitter.pending or not reply.begun:
-            return work_items.Failed("stream broke off")
+                for event in events:
+                    failure = await self._relay_event(
+                        work, answer, event, reply
+                    )
+                    if failure is not None:
+                        return failure
+        if splitter.pending or not reply.started:
+            return work_items.Failed("stream truncated")
         work.progress.status = answer.head.status
         await reply.finish()
         return work_items.Delivered(answer.head.status)
 
-    async def _relay(
+    async def _relay_event(
         self,
         work: work_items.Work,
-        answer: attempt_module.Attempt,
+        answer: attempt_module.ResponseReader,
         event: event_stream.ServerEvent,
         reply: replies.Reply,
     ) -> work_items.Failed | None:
-        """Pass one event on, unless it does not follow the last one."""
+        """Relay one event; fail if its id does not follow the last one."""
         if event.number is not None:
             last = work.last_event
             if last is not None and event.number != last + 1:
                 return work_items.Failed(f"event {event.number} after {last}")
             work.last_event = event.number
-        if not reply.begun:
-            await reply.begin(
-                answer.head.status, hops.keep_headers(answer.head.headers)
+        if not reply.started:
+            await reply.start(
+                answer.head.status,
+                hops.select_response_headers(answer.head.headers),
             )
         await reply.send(event.raw)
         return None
--- a/src/carawayward/forwarding/replies.py
+++ b/src/carawayward/forwarding/replies.py
@@ -1,4 +1,4 @@
-"""A caller's request and the port through which it is answered."""
+"""A caller's request, and the interface for replying to it."""
 
 import random
 import typing
@@ -7,13 +7,14 @@
 
 from carawayward.forwarding import message_types
 
-# Times to come back differ by so much between callers refused together.
-COME_BACK_SPREAD = (0.75, 1.25)
+# Range of the random factor on Retry-After, so that callers that are refused
+# together do not retry together.
+RETRY_AFTER_JITTER = (0.75, 1.25)
 
 
 @attrs.frozen(kw_only=True)
 class CallerRequest:
-    """A whole request as it came in."""
+    """A complete request as the caller sent it."""
 
     method: bytes
     target: bytes
@@ -24,45 +25,46 @@
 
 
 class Reply(typing.Protocol):
-    """How an answer goes out; a reply that is not finished is broken off.
+    """Interface for replying to a caller.
 
-    ``begun`` tells whether anything has reached the caller.
+    A reply that is not finished reaches the caller truncated. ``started``
+    says whether anything has been sent to the caller.
     """
 
-    begun: bool
+    started: bool
 
-    async def begin(self, status: int, headers: message_types.Headers) -> None:
+    async def start(self, status: int, headers: message_types.Headers) -> None:
         """Send status and headers."""
 
-    async def send(self, piece: bytes) -> None:
-        """Send a piece of the body."""
+    async def send(self, chunk: bytes) -> None:
+        """Send a chunk of the body."""
 
     async def finish(self) -> None:
-        """Send the end of the body, which makes the answer whole."""
+        """Send the end of the body, which completes the reply."""
 
 
 async def send_response(
     reply: Reply, status: int, headers: message_types.Headers, body: bytes
 ) -> None:
-    """Send an answer in one go."""
+    """Send a whole reply."""
     length = str(len(body)).encode()
     kept = [pair for pair in headers if pair[0].lower() != b"content-length"]
-    await reply.begin(status, [*kept, (b"content-length", length)])
+    await reply.start(status, [*kept, (b"content-length", length)])
     if body:
         await reply.send(body)
     await reply.finish()
 
 
 async def refuse(
-    reply: Reply, status: int, come_back_ms: float | None
+    reply: Reply, status: int, retry_after_ms: float | None
 ) -> None:
     """Refuse a request that has not run.
 
-    Callers that are refused together are told times apart, or they would
-    all come back at the same moment and be refused together again.
+    Retry-After has a random factor: callers that are refused together would
+    otherwise all retry at the same moment and be refused together again.
     """
     headers: message_types.Headers = []
-    if come_back_ms is not None:
-        come_back_ms *= random.uniform(*COME_BACK_SPREAD)
-        headers.append((b"retry-after", b"%.3f" % (come_back_ms / 1000)))
+    if retry_after_ms is not None:
+        retry_after_ms *= random.uniform(*RETRY_AFTER_JITTER)
+        headers.append((b"retry-after", b"%.3f" % (retry_after_ms / 1000)))
     await send_response(reply, status, headers, b"")
--- a/src/carawayward/forwarding/session_versions.py
+++ b/src/carawayward/forwarding/session_versions.py
@@ -1,6 +1,7 @@
-"""On which version each session goes on.
+"""Remembers which version each session uses.
 
-A session that changes its version amid a roll-out mixes the answers of two.
+A session that changed its version during a roll-out would mix the answers of
+two versions.
 """
 
 import collections
@@ -10,57 +11,58 @@
 
 from carawayward import clock as clock_module
 
-# Bound of the sessions that are remembered: some 4 MB.
-MOST_SESSIONS = 20_000
-# A session whose last request is older than its time limit by this part may
-# still be counted as going on by another clock.
-SESSION_SLACK = 1.2
+# Limits memory to some 4 MB.
+MAX_SESSIONS = 20_000
+# Sessions are kept for longer than their timeout by this factor: on another
+# clock a session may not have expired yet.
+SESSION_TIMEOUT_FACTOR = 1.2
 
 
 @attrs.define(eq=False)
 class SessionVersions:
     """The version that each session's last request went to.
 
-    Versions are named as roll-outs name them; an empty one is whatever was
-    there before. They are remembered while no roll-out is ordered too: a
-    session that begins just before the order is held to the old version.
+    Versions have the names that roll-out orders give; the empty one is the
+    version before the roll-out. Sessions are recorded also while there is no
+    roll-out, so that one that began right before an order stays on the old
+    version.
     """
 
     clock: clock_module.Clock
-    find_session_ms: typing.Callable[[], float]
+    get_session_timeout_ms: typing.Callable[[], float]
     last: collections.OrderedDict[tuple[str, str], tuple[str, float]] = (
         attrs.field(factory=collections.OrderedDict)
     )
 
     def record(self, service: str, session: str, version: str) -> None:
-        """A request of a session goes to a version; "" is no session."""
+        """Record a session's version; an empty session is ignored."""
         if not session:
             return
         self.last[service, session] = (version, self.clock.now_ms())
         self.last.move_to_end((service, session))
-        self._drop_old()
+        self._evict()
 
     def touch(self, service: str, session: str) -> None:
-        """A request of a session has ended; its time runs from here."""
+        """Restart a session's timeout, at the end of a request."""
         known = self.last.get((service, session))
         if known is not None:
             self.record(service, session, known[0])
 
     def find(self, service: str, session: str) -> str | None:
-        """The version of a session that still goes on, else None."""
+        """Return the version of a session; None if unknown or expired."""
         known = self.last.get((service, session))
-        if known is None or self._is_over(known[1]):
+        if known is None or self._is_expired(known[1]):
             return None
         return known[0]
 
-    def _is_over(self, last_ms: float) -> bool:
+    def _is_expired(self, last_ms: float) -> bool:
         age_ms = self.clock.now_ms() - last_ms
-        return age_ms >= SESSION_SLACK * self.find_session_ms()
+        return age_ms >= SESSION_TIMEOUT_FACTOR * self.get_session_timeout_ms()
 
-    def _drop_old(self) -> None:
+    def _evict(self) -> None:
         while self.last:
             oldest = next(iter(self.last))
-            if len(self.last) <= MOST_SESSIONS and not self._is_over(
+            if len(self.last) <= MAX_SESSIONS and not self._is_expired(
                 self.last[oldest][1]
             ):
                 return
--- a/src/carawayward/forwarding/work_items.py
+++ b/src/carawayward/forwarding/work_items.py
@@ -1,4 +1,4 @@
-"""What is known of one forwarded request, and how its attempts end."""
+"""The state of one forwarded request, and the outcomes of its attempts."""
 
 import dataclasses
 
@@ -16,35 +16,35 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delivered:
-    """The caller has the whole answer."""
+    """The caller has been sent the whole response."""
 
     status: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unreached:
-    """No byte of the request has left this entry VM."""
+    """No byte of the request has been sent."""
 
     cause: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Withheld:
-    """The endpoint was reached, but the request may no longer go out."""
+    """The endpoint was reached, but the request may no longer be sent."""
 
     cause: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Declined:
-    """The endpoint says that it did not and will not run the request."""
+    """The endpoint reported that it did not and will not run the request."""
 
     cause: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unsure:
-    """The model thinks little of its answer; ``model`` is to be asked."""
+    """The model's confidence is low; ``model`` is the one to ask next."""
 
     cause: str
     model: int
@@ -52,13 +52,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed:
-    """The request may have run; ``head`` and ``body`` are its answer.
+    """The request may have run; ``head`` and ``body`` are its response.
 
-    Without a ``head`` there was no usable answer.
+    ``head`` is None if there was no response that may be relayed.
     """
 
     cause: str
-    head: attempt_module.Head | None = None
+    head: attempt_module.ResponseHead | None = None
     body: bytes = b""
 
 
@@ -67,26 +67,29 @@
 
 @attrs.define(eq=False)
 class Reading:
-    """A prompt at an engine: outstanding until the head of its answer."""
+    """A prompt at an engine, outstanding until its first token.
+
+    ``weight`` is what remains to be read, in weighted tokens.
+    """
 
     reporter: load_reports.LoadReporter
     engine: str
     weight: float
 
     def begin(self) -> None:
-        """The prompt goes to its engine."""
+        """Add the prompt to the engine's outstanding load."""
         load = engine_load.Load(self.weight, 1)
         self.reporter.add_load(self.engine, load)
 
     def observe_ttft(self) -> None:
-        """The prompt has been read; the answer comes."""
+        """Remove the prompt's tokens: the engine has read them."""
         if self.weight:
             load = engine_load.Load(-self.weight, 0)
             self.reporter.add_load(self.engine, load)
             self.weight = 0.0
 
     def end(self) -> None:
-        """The run is over."""
+        """Remove the stream, and the prompt's tokens if still outstanding."""
         load = engine_load.Load(-self.weight, -1)
         self.reporter.add_load(self.engine, load)
         self.weight = 0.0
@@ -94,12 +97,12 @@
 
 @attrs.define(eq=False)
 class Progress:
-    """How far one attempt has come; times in ms.
+    """The progress of one attempt; times in ms.
 
     ``ttft_ms`` is the time to the first token of a stream, ``predicted_ms``
-    what it should have been by what its engine had to read before. ``status``
-    is set once it is known what the endpoint's answer is worth, though the
-    caller may not have it yet. ``version`` is that of the endpoint.
+    the prediction of it from the engine's backlog. ``status`` is set once the
+    endpoint's response can be judged, which may be before the caller has it.
+    ``version`` is that of the endpoint.
     """
 
     began_ms: float
@@ -111,13 +114,14 @@
 
 @attrs.define(eq=False, kw_only=True)
 class Work:
-    """What is known of one request while it is served; times in ms.
-
-    ``mark`` is that of the attempt under way; ``earlier_may_have_run`` says
-    whether an earlier one may have run. Endpoints in ``failed_at`` are asked
-    again only when there is no other, those in ``useless`` not at all.
-    ``backlog`` is what its engine reads up to its first text, in weighted
-    tokens, and ``waits`` whether others' prompts are in that.
+    """The state of one request while it is served; times in ms.
+
+    ``mark`` is that of the current attempt; ``earlier_may_have_run`` says
+    whether an earlier attempt may have run. Endpoints in ``failed_endpoints``
+    are tried again only if there is no other, those in ``unusable`` never.
+    ``backlog`` is what the chosen engine reads until the first token, in
+    weighted tokens, and ``is_queued`` whether that includes other prompts.
+    ``backlog_ms`` is the mean backlog of the engines, for the log.
     """
 
     request: replies.CallerRequest
@@ -135,14 +139,14 @@
     unreached_ms: float = 0.0
     earlier_may_have_run: bool = False
     mark: http.SentMark | None = None
-    failed_at: frozenset[str] = frozenset()
-    useless: frozenset[str] = frozenset()
+    failed_endpoints: frozenset[str] = frozenset()
+    unusable: frozenset[str] = frozenset()
     last_event: int | None = None
     failure: Failed | None = None
     endpoint: str = ""
     reading: "Reading | None" = None
     backlog: float = 0.0
-    waits: bool = False
+    is_queued: bool = False
     backlog_ms: float = 0.0
 
     @property
@@ -154,14 +158,14 @@
 
     @property
     def model_name(self) -> str:
-        """The model chosen for the caller; empty if it is not ours to."""
+        """The model that the router chose; empty if it was not to choose."""
         return "" if self.model is None else self.route.models[self.model]
 
 
 def make_prompt(work: Work, model: str = "") -> engine_load.Prompt | None:
-    """The prompt to place; None where no engines are involved.
+    """Make the prompt to place; None if the service has no engines.
 
-    It is for the model named, else for the one that is chosen for the work.
+    ``model`` defaults to the one that the router or the caller has chosen.
     """
     service = work.table.services.get(work.service)
     if service is None or service.engine is None or not work.metadata.prompt:
--- a/tests/cover/test_cold_starts.py
+++ b/tests/cover/test_cold_starts.py
@@ -1,4 +1,4 @@
-"""What cold endpoints get, and evacuated failure domains, without I/O."""
+"""Tests of cold-start limits and of evacuated failure domains, no I/O."""
 
 import json
 
@@ -26,7 +26,7 @@
 
 
 def make_table(**changes):
-    """A table with engines that are cold for three seconds."""
+    """Make a table with engines that are cold for three seconds."""
     config = forwarding.make_config()
     engines = config["services"][1]
     engines |= {"coldStartS": 3.0, "coldPerS": 5.3, **changes}
@@ -45,7 +45,7 @@
 
 
 def make_board(*entries, name=MEMBERS[0], known=None):
-    """A board that has just read these entries."""
+    """Make a board that has just read these entries."""
     clock = clock_module.ManualClock(10_000.0)
     board = board_module.ForwardingBoard(
         name=name, failure_domain="north", bounds=BOUNDS
@@ -69,28 +69,28 @@
 
 
 def make_cold_starts(board, clock, members=MEMBERS, age_ms=5_000.0):
-    made = cold_starts.ColdStarts(board, clock, lambda domain: members)
+    made = cold_starts.ColdStartLimiter(board, clock, lambda domain: members)
     made.started_ms = clock.now - age_ms
     return made
 
 
-def test_cold_endpoint_gets_its_bound_from_all_entry_vms_together():
-    """Each entry VM keeps to a bound of its own, and the sum is a herd."""
+def test_all_entry_vms_together_stay_within_a_cold_endpoints_bound():
+    """Each entry VM alone keeps to the bound; together they exceed it."""
     sent = 0
     for name in MEMBERS:
         board, clock, _ = make_board(make_entry(), name=name)
         made = make_cold_starts(board, clock)
-        while "e-1" not in made.list_closed():
-            made.record_sent(made.take(board.endpoints["e-1"]))
+        while "e-1" not in made.list_exhausted():
+            made.record_sent(made.acquire(board.endpoints["e-1"]))
             sent += 1
     assert 1 <= sent <= decisions.DEALT_PART * BOUND
 
 
 def test_entry_vm_of_another_failure_domain_holds_no_permit():
-    """Each of them counts itself among the holders, and some are."""
+    """An entry VM ranks itself among the holders though it is not listed."""
     for number in range(60):
         board, clock, _ = make_board(make_entry(), name=f"other-{number}")
-        assert make_cold_starts(board, clock).list_closed() == {"e-1"}
+        assert make_cold_starts(board, clock).list_exhausted() == {"e-1"}
 
 
 def find_holder(members=MEMBERS, endpoint="e-1"):
@@ -102,48 +102,48 @@
 
 
 def test_permit_counts_until_a_window_after_its_request_was_sent():
-    """A connection takes long; its request goes out beside later ones."""
+    """A slow connection sends its request together with later ones."""
     board, clock, _ = make_board(
         make_entry(cold_ms=50_000.0), name=find_holder()
     )
     made = make_cold_starts(board, clock)
     permits = []
-    while "e-1" not in made.list_closed():
-        permits.append(made.take(board.endpoints["e-1"]))
+    while "e-1" not in made.list_exhausted():
+        permits.append(made.acquire(board.endpoints["e-1"]))
     clock.now += 5_000.0
-    assert "e-1" in made.list_closed()
+    assert "e-1" in made.list_exhausted()
     for permit in permits:
         made.record_sent(permit)
-        made.give_back(permit)
+        made.release(permit)
     clock.now += 1_000.0
-    assert "e-1" in made.list_closed()
+    assert "e-1" in made.list_exhausted()
     clock.now += 100.0
-    assert not made.list_closed()
+    assert not made.list_exhausted()
 
 
 def test_permit_of_a_request_that_was_not_sent_is_free_at_once():
-    """Connections that fail use up what a cold endpoint may get."""
+    """Failed connections use up the permits of a cold endpoint."""
     board, clock, _ = make_board(make_entry(), name=find_holder())
     made = make_cold_starts(board, clock)
     permits = []
-    while "e-1" not in made.list_closed():
-        permits.append(made.take(board.endpoints["e-1"]))
-    made.give_back(permits[0])
-    assert not made.list_closed()
+    while "e-1" not in made.list_exhausted():
+        permits.append(made.acquire(board.endpoints["e-1"]))
+    made.release(permits[0])
+    assert not made.list_exhausted()
 
 
 def test_process_that_has_just_started_sends_nothing_to_cold_endpoints():
-    """It does not know what its predecessor sent a moment ago."""
+    """It does not know what the previous process sent within the window."""
     board, clock, _ = make_board(make_entry(), name=find_holder())
-    assert make_cold_starts(board, clock, age_ms=900.0).list_closed()
-    assert not make_cold_starts(board, clock, age_ms=1_100.0).list_closed()
+    assert make_cold_starts(board, clock, age_ms=900.0).list_exhausted()
+    assert not make_cold_starts(board, clock, age_ms=1_100.0).list_exhausted()
 
 
 def test_entry_vm_that_does_not_know_the_others_sends_nothing():
-    """All of them would believe that they are alone."""
+    """Each would act as if it were the only one, and use the whole bound."""
     board, clock, _ = make_board(make_entry(), name=find_holder())
     made = make_cold_starts(board, clock, members=None)
-    assert made.list_closed() == {"e-1"}
+    assert made.list_exhausted() == {"e-1"}
 
 
 @params(
@@ -152,50 +152,50 @@
     (None, True),
     (1e12, True),
 )
-def test_endpoint_is_cold_by_what_its_entry_says(cold_ms, cold):
-    """Its entry gives no time, a common one or one of years."""
+def test_endpoint_is_cold_for_the_time_in_its_entry(cold_ms, cold):
+    """Its entry gives zero, seconds, no time, or years."""
     board, clock, _ = make_board(make_entry(cold_ms=cold_ms))
     made = make_cold_starts(board, clock, members=())
     made.board.name = "alone"
-    most = dict(made._list_cold())
-    assert bool(most) is cold
+    max_permits = dict(made._list_cold())
+    assert bool(max_permits) is cold
     clock.now += decisions.MAX_COLD_MS
-    assert not made.list_closed()
+    assert not made.list_exhausted()
     assert not board.cold_reports
 
 
-def test_endpoint_that_says_nothing_is_cold_once_for_each_start():
-    """Each heartbeat begins its cold time anew, and it never gets work."""
+def test_endpoint_without_cold_time_is_cold_once_per_start():
+    """Each heartbeat restarts its cold time, so it never gets requests."""
     board, clock, reader = make_board(make_entry(cold_ms=None))
     clock.now += 2_950.0
     reader.apply(keyed_log.Record("e-1", b"", 1))
     made = make_cold_starts(board, clock)
-    assert not made.list_closed()
+    assert not made.list_exhausted()
 
 
-def test_endpoint_that_turns_cold_again_is_spared_again():
-    """It is taken for warm since it was warm once."""
+def test_endpoint_that_becomes_cold_again_is_limited_again():
+    """An endpoint that was warm once is assumed to stay warm."""
     board, clock, _ = make_board(make_entry(cold_ms=0.0))
     reader = make_reader(board, clock, [make_entry(cold_ms=2_500.0)])
     reader.apply(keyed_log.Record("e-1", b"", 1))
     made = make_cold_starts(board, clock, members=None)
-    assert made.list_closed() == {"e-1"}
+    assert made.list_exhausted() == {"e-1"}
     clock.now += 2_500.0
-    assert not made.list_closed()
+    assert not made.list_exhausted()
 
 
-def test_deployment_without_cold_endpoints_behaves_as_before():
-    """Bounds and services say nothing of cold endpoints."""
+def test_services_without_cold_start_settings_are_not_limited():
+    """The settings and the services do not mention cold endpoints."""
     board, clock, _ = make_board(
         make_entry(), known=records.read_table(forwarding.make_config())
     )
     made = make_cold_starts(board, clock, members=None)
-    assert not made.list_closed()
+    assert not made.list_exhausted()
 
 
 @params("soon", None, -1, float("nan"), float("inf"), True, [])
-def test_cold_times_that_cannot_be_read_count_as_unknown(value):
-    """One server's entry, or a service, gives a time of another kind."""
+def test_invalid_cold_times_count_as_unknown(value):
+    """An entry or a service gives a cold time of the wrong type or range."""
     entry = {
         "service": "engines",
         "address": "10.0.0.1:80",
@@ -221,13 +221,13 @@
 
 
 def list_pool(fleet):
-    pool = fleet.find_pool(fleet_module.Want("engines"))
+    pool = fleet.find_pool(fleet_module.EndpointFilter("engines"))
     return {view.name for view in pool.views}
 
 
 @params(b"{}", b"", b"\xff no json")
 def test_evacuated_failure_domain_gets_nothing_until_it_is_lifted(value):
-    """An operator empties a failure domain and takes it back."""
+    """An operator evacuates a failure domain and lifts the order later."""
     entries = (
         make_entry("e-1", cold_ms=0.0),
         make_entry("e-2", "south", cold_ms=0.0),
@@ -246,15 +246,15 @@
     assert list_pool(fleet) == set()
     reader.apply(read_evacuation("south", None))
     assert list_pool(fleet) == {"e-2"}
-    # Its endpoints may have turned cold while they had nothing to do.
+    # Its endpoints may have become cold while they were idle.
     made = make_cold_starts(board, clock, members=None)
-    assert made.list_closed() == {"e-2"}
+    assert made.list_exhausted() == {"e-2"}
     reader.replace([read_evacuation("south", value)])
     assert list_pool(fleet) == {"e-1"}
 
 
-def test_evacuation_that_a_copy_of_the_store_lacks_goes_on_for_a_while():
-    """The copy is older than the order, which is written again."""
+def test_evacuation_missing_from_a_restored_store_stays_for_a_while():
+    """The store's copy is older than the order, which is written again."""
     board, clock, _ = make_board(make_entry(cold_ms=0.0))
     reader = make_declarations(board, clock)
     reader.apply(read_evacuation("north"))
@@ -272,7 +272,7 @@
 
 
 def test_prompts_leave_an_evacuated_failure_domain():
-    """Its engine keeps the prompt, and would be chosen for that."""
+    """Its engine has the prompt cached, and would be preferred for that."""
     entries = (
         make_entry("e-1", cold_ms=0.0),
         make_entry("e-2", "south", cold_ms=0.0),
@@ -282,13 +282,13 @@
     prompt = engine_load.Prompt(parts=((1, 900), (2, 100)))
     engine_load.record_cached(fleet.loads, "e-1", prompt.parts, 100_000)
     make_declarations(board, clock).apply(read_evacuation("north"))
-    pool = fleet.find_pool(fleet_module.Want("engines"))
+    pool = fleet.find_pool(fleet_module.EndpointFilter("engines"))
     choice = fleet.choose_engine(pool, prompt, frozenset())
     assert choice is not None and choice.name == "e-2"
 
 
 def test_table_reads_cold_starts():
-    """Operators say how long engines are cold and what they bear."""
+    """Operators configure the cold-start time and the rate limit."""
     service = make_table().services["engines"]
     assert isinstance(service, table.Service)
     assert (service.cold_start_ms, service.cold_per_s) == (3_000.0, 5.3)
--- a/tests/cover/test_forwarding_attempt_timeouts.py
+++ b/tests/cover/test_forwarding_attempt_timeouts.py
@@ -1,4 +1,4 @@
-"""How long an endpoint is waited for before another one is asked."""
+"""Tests of the timeouts of an attempt at an endpoint."""
 
 import attrs
 
@@ -17,40 +17,40 @@
 )
 
 
-def test_silent_engine_is_given_up_while_another_has_time():
-    """An engine took a prompt and never answers; others are idle."""
+def test_silent_engine_times_out_while_another_can_still_respond():
+    """An engine accepts a prompt and never responds; others are idle."""
     wait_ms = attempt_timeouts.compute_attempt_timeout_ms(
         DIGEST, 25_000.0, 300.0
     )
     assert wait_ms < 25_000.0 - DIGEST.target_ms
 
 
-def test_engines_that_are_behind_are_waited_for():
-    """All engines take seven seconds; a second one would too."""
+def test_no_timeout_when_another_engine_would_be_too_late():
+    """All engines need seven seconds; a retry would need them too."""
     wait_ms = attempt_timeouts.compute_attempt_timeout_ms(
         DIGEST, 25_000.0, 7_000.0
     )
-    assert wait_ms == attempt_timeouts.FOREVER_MS
+    assert wait_ms == attempt_timeouts.NO_TIMEOUT_MS
 
 
-def test_what_may_run_once_is_waited_for():
-    """A transfer's server is slow; another must not run it too."""
+def test_no_timeout_for_requests_that_may_run_only_once():
+    """A slow request that is not repeatable must not run elsewhere too."""
     once = attrs.evolve(DIGEST, kind=table.RouteKind.ONCE)
     wait_ms = attempt_timeouts.compute_attempt_timeout_ms(once, 1_500.0, 0.0)
-    assert wait_ms == attempt_timeouts.FOREVER_MS
-    torn = attrs.evolve(DIGEST, resumable=False)
+    assert wait_ms == attempt_timeouts.NO_TIMEOUT_MS
+    not_resumable = attrs.evolve(DIGEST, resumable=False)
     wait_ms = attempt_timeouts.compute_attempt_timeout_ms(
-        torn, 25_000.0, 300.0
+        not_resumable, 25_000.0, 300.0
     )
-    assert wait_ms == attempt_timeouts.FOREVER_MS
+    assert wait_ms == attempt_timeouts.NO_TIMEOUT_MS
 
 
-def test_dead_connection_ends_before_the_wait_for_a_first_text():
-    """An engine loses its power; without probes its digests hang for 15 s."""
-    silence_ms = attempt_timeouts.find_silence_ms(DIGEST)
-    assert silence_ms is not None
-    assert silence_ms < attempt_timeouts.compute_attempt_timeout_ms(
+def test_dead_connection_ends_before_the_first_token_timeout():
+    """An engine loses power; without probes its streams hang for 15 s."""
+    silence_timeout_ms = attempt_timeouts.get_silence_timeout_ms(DIGEST)
+    assert silence_timeout_ms is not None
+    assert silence_timeout_ms < attempt_timeouts.compute_attempt_timeout_ms(
         DIGEST, 25_000.0, 300.0
     )
     lookup = attrs.evolve(DIGEST, kind=table.RouteKind.IDEMPOTENT)
-    assert attempt_timeouts.find_silence_ms(lookup) is None
+    assert attempt_timeouts.get_silence_timeout_ms(lookup) is None
--- a/tests/cover/test_forwarding_fleet.py
+++ b/tests/cover/test_forwarding_fleet.py
@@ -1,4 +1,4 @@
-"""What an entry VM learns of endpoints, without sockets."""
+"""Tests of quarantine by endpoint and by failure domain, without sockets."""
 
 import typing
 
@@ -9,7 +9,7 @@
 
 
 def make_fleet():
-    """Three engines in each of two failure domains; ours is "north"."""
+    """Make three engines in each of two failure domains; "north" is local."""
     board = board_module.ForwardingBoard(name="vm", failure_domain="north")
     clock: typing.Any = clock_module.ManualClock(now=10_000.0)
     for number in range(6):
@@ -22,21 +22,21 @@
         )
     board.generation += 1
     fleet = fleet_module.Fleet(board, clock)
-    fleet.find_pool(fleet_module.Want("engines"))
+    fleet.find_pool(fleet_module.EndpointFilter("engines"))
     return fleet, clock
 
 
 def fail(fleet, clock, name, took_ms):
     clock.advance(took_ms)
-    fleet.record_unreached(fleet.places[name], took_ms)
+    fleet.record_unreached(fleet.tracked[name], took_ms)
 
 
-def test_cut_failure_domain_is_passed_over_as_a_whole():
-    """Requests try one endpoint behind a cut after the other.
+def test_partitioned_failure_domain_is_quarantined_as_a_whole():
+    """Requests try the endpoints behind a partition one after the other.
 
-    The cut drops packets, so that each try costs half a second and callers
-    wait 1.5 s for their first text. Cause: each endpoint had to be found out
-    of reach by itself, though nothing came from any of them.
+    Packets are dropped, so each attempt takes half a second and callers wait
+    1.5 s for the first token, if each endpoint is quarantined only after an
+    attempt of its own.
     """
     fleet, clock = make_fleet()
     fail(fleet, clock, "engine-0", 500.0)
@@ -45,25 +45,25 @@
     assert not fleet.list_quarantined()
 
 
-def test_dead_endpoint_does_not_take_its_failure_domain_along():
-    """One machine has lost power; others of its domain go on answering."""
+def test_dead_endpoint_does_not_quarantine_its_failure_domain():
+    """One machine has lost power; others in its domain still respond."""
     fleet, clock = make_fleet()
     clock.advance(300.0)
-    fleet.record_taken(fleet.places["engine-1"])
+    fleet.record_accepted(fleet.tracked["engine-1"])
     clock.advance(300.0)
-    fleet.record_unreached(fleet.places["engine-0"], 500.0)
+    fleet.record_unreached(fleet.tracked["engine-0"], 500.0)
     assert fleet.list_quarantined() == {"engine-0"}
 
 
-def test_connection_that_is_refused_says_nothing_of_the_domain():
-    """A process has ended; its machine says so within milliseconds."""
+def test_refused_connection_does_not_quarantine_its_failure_domain():
+    """A process has ended; its machine refuses within milliseconds."""
     fleet, clock = make_fleet()
     fail(fleet, clock, "engine-0", 3.0)
     assert fleet.list_quarantined() == {"engine-0"}
 
 
-def test_own_failure_domain_is_never_passed_over_as_a_whole():
-    """What is here is reached over no cut; one engine is just dark."""
+def test_local_failure_domain_is_never_quarantined_as_a_whole():
+    """No partition lies between here and it; only one engine is dead."""
     fleet, clock = make_fleet()
     fail(fleet, clock, "engine-4", 500.0)
     assert fleet.list_quarantined() == {"engine-4"}
--- a/tests/failures/test_forwarding_store.py
+++ b/tests/failures/test_forwarding_store.py
@@ -344,14 +344,14 @@
         async with forwarding.open_forwarding(desk) as made:
             fleet = made.daemon.app.forwarder.fleet
             assert (await made.call("POST", "/log/")).status == 200
-            before = fleet.places["desk-0"].view
+            before = fleet.tracked["desk-0"].view
             made.register(desk, born=1_700_000_009_000, sequence=1)
             board = made.daemon.board
             await made.wait_for(
                 lambda: board.endpoints["desk-0"].born == 1_700_000_009_000
             )
             assert (await made.call("POST", "/log/")).status == 200
-            assert fleet.places["desk-0"].view is not before
+            assert fleet.tracked["desk-0"].view is not before
 
     trio.run(main)
 
