--- a/tests/cover/test_cold_starts.py
+++ b/tests/cover/test_cold_starts.py
@@ -68,10 +68,12 @@
     )
 
 
-def make_cold_starts(board, clock, members=MEMBERS, age_ms=5_000.0):
-    made = cold_starts.ColdStartLimiter(board, clock, lambda domain: members)
-    made.started_ms = clock.now - age_ms
-    return made
+def make_limiter(board, clock, members=MEMBERS, age_ms=5_000.0):
+    limiter = cold_starts.ColdStartLimiter(
+        board, clock, lambda domain: members
+    )
+    limiter.started_ms = clock.now - age_ms
+    return limiter
 
 
 def test_all_entry_vms_together_stay_within_a_cold_endpoints_bound():
@@ -79,9 +81,9 @@
     sent = 0
     for name in MEMBERS:
         board, clock, _ = make_board(make_entry(), name=name)
-        made = make_cold_starts(board, clock)
-        while "e-1" not in made.list_exhausted():
-            made.record_sent(made.acquire(board.endpoints["e-1"]))
+        limiter = make_limiter(board, clock)
+        while "e-1" not in limiter.list_exhausted():
+            limiter.record_sent(limiter.acquire(board.endpoints["e-1"]))
             sent += 1
     assert 1 <= sent <= decisions.DEALT_PART * BOUND
 
@@ -90,7 +92,7 @@
     """An entry VM ranks itself among the holders though it is not listed."""
     for number in range(60):
         board, clock, _ = make_board(make_entry(), name=f"other-{number}")
-        assert make_cold_starts(board, clock).list_exhausted() == {"e-1"}
+        assert make_limiter(board, clock).list_exhausted() == {"e-1"}
 
 
 def find_holder(members=MEMBERS, endpoint="e-1"):
@@ -106,44 +108,44 @@
     board, clock, _ = make_board(
         make_entry(cold_ms=50_000.0), name=find_holder()
     )
-    made = make_cold_starts(board, clock)
+    limiter = make_limiter(board, clock)
     permits = []
-    while "e-1" not in made.list_exhausted():
-        permits.append(made.acquire(board.endpoints["e-1"]))
+    while "e-1" not in limiter.list_exhausted():
+        permits.append(limiter.acquire(board.endpoints["e-1"]))
     clock.now += 5_000.0
-    assert "e-1" in made.list_exhausted()
+    assert "e-1" in limiter.list_exhausted()
     for permit in permits:
-        made.record_sent(permit)
-        made.release(permit)
+        limiter.record_sent(permit)
+        limiter.release(permit)
     clock.now += 1_000.0
-    assert "e-1" in made.list_exhausted()
+    assert "e-1" in limiter.list_exhausted()
     clock.now += 100.0
-    assert not made.list_exhausted()
+    assert not limiter.list_exhausted()
 
 
 def test_permit_of_a_request_that_was_not_sent_is_free_at_once():
     """Failed connections use up the permits of a cold endpoint."""
     board, clock, _ = make_board(make_entry(), name=find_holder())
-    made = make_cold_starts(board, clock)
+    limiter = make_limiter(board, clock)
     permits = []
-    while "e-1" not in made.list_exhausted():
-        permits.append(made.acquire(board.endpoints["e-1"]))
-    made.release(permits[0])
-    assert not made.list_exhausted()
+    while "e-1" not in limiter.list_exhausted():
+        permits.append(limiter.acquire(board.endpoints["e-1"]))
+    limiter.release(permits[0])
+    assert not limiter.list_exhausted()
 
 
 def test_process_that_has_just_started_sends_nothing_to_cold_endpoints():
     """It does not know what the previous process sent within the window."""
     board, clock, _ = make_board(make_entry(), name=find_holder())
-    assert make_cold_starts(board, clock, age_ms=900.0).list_exhausted()
-    assert not make_cold_starts(board, clock, age_ms=1_100.0).list_exhausted()
+    assert make_limiter(board, clock, age_ms=900.0).list_exhausted()
+    assert not make_limiter(board, clock, age_ms=1_100.0).list_exhausted()
 
 
 def test_entry_vm_that_does_not_know_the_others_sends_nothing():
     """Each would act as if it were the only one, and use the whole bound."""
     board, clock, _ = make_board(make_entry(), name=find_holder())
-    made = make_cold_starts(board, clock, members=None)
-    assert made.list_exhausted() == {"e-1"}
+    limiter = make_limiter(board, clock, members=None)
+    assert limiter.list_exhausted() == {"e-1"}
 
 
 @params(
@@ -155,12 +157,12 @@
 def test_endpoint_is_cold_for_the_time_in_its_entry(cold_ms, cold):
     """Its entry gives zero, seconds, no time, or years."""
     board, clock, _ = make_board(make_entry(cold_ms=cold_ms))
-    made = make_cold_starts(board, clock, members=())
-    made.board.name = "alone"
-    max_permits = dict(made._list_cold())
+    limiter = make_limiter(board, clock, members=())
+    limiter.board.name = "alone"
+    max_permits = dict(limiter._list_cold())
     assert bool(max_permits) is cold
     clock.now += decisions.MAX_COLD_MS
-    assert not made.list_exhausted()
+    assert not limiter.list_exhausted()
     assert not board.cold_reports
 
 
@@ -169,8 +171,8 @@
     board, clock, reader = make_board(make_entry(cold_ms=None))
     clock.now += 2_950.0
     reader.apply(keyed_log.Record("e-1", b"", 1))
-    made = make_cold_starts(board, clock)
-    assert not made.list_exhausted()
+    limiter = make_limiter(board, clock)
+    assert not limiter.list_exhausted()
 
 
 def test_endpoint_that_becomes_cold_again_is_limited_again():
@@ -178,10 +180,10 @@
     board, clock, _ = make_board(make_entry(cold_ms=0.0))
     reader = make_reader(board, clock, [make_entry(cold_ms=2_500.0)])
     reader.apply(keyed_log.Record("e-1", b"", 1))
-    made = make_cold_starts(board, clock, members=None)
-    assert made.list_exhausted() == {"e-1"}
+    limiter = make_limiter(board, clock, members=None)
+    assert limiter.list_exhausted() == {"e-1"}
     clock.now += 2_500.0
-    assert not made.list_exhausted()
+    assert not limiter.list_exhausted()
 
 
 def test_services_without_cold_start_settings_are_not_limited():
@@ -189,8 +191,8 @@
     board, clock, _ = make_board(
         make_entry(), known=records.read_table(forwarding.make_config())
     )
-    made = make_cold_starts(board, clock, members=None)
-    assert not made.list_exhausted()
+    limiter = make_limiter(board, clock, members=None)
+    assert not limiter.list_exhausted()
 
 
 @params("soon", None, -1, float("nan"), float("inf"), True, [])
@@ -247,8 +249,8 @@
     reader.apply(read_evacuation("south", None))
     assert list_pool(fleet) == {"e-2"}
     # Its endpoints may have become cold while they were idle.
-    made = make_cold_starts(board, clock, members=None)
-    assert made.list_exhausted() == {"e-2"}
+    limiter = make_limiter(board, clock, members=None)
+    assert limiter.list_exhausted() == {"e-2"}
     reader.replace([read_evacuation("south", value)])
     assert list_pool(fleet) == {"e-1"}
 
--- a/tests/failures/test_forwarding_outage.py
+++ b/tests/failures/test_forwarding_outage.py
@@ -1,14 +1,14 @@
-"""Endpoints that leave while an entry VM cannot reach the store."""
+"""Tests of endpoints that leave while an entry VM cannot reach the store."""
 
 import trio
 
 from tests.common import forwarding
 from tests.standins import backend
 
-# From then on a call of the store has reached it in both directions for as
-# long as the users allow an entry VM to catch up.
+# How long an entry VM may take to catch up, from the first call that reaches
+# the store and is answered again.
 CATCH_UP_S = 3.0
-# Short, so that entries run out within a test.
+# Short, so that registry entries expire within a test.
 HEARTBEAT_MS = 500
 
 
@@ -17,10 +17,10 @@
 
 
 async def return_after_call(made, topic):
-    """Let the silent store answer again just after a call was lost.
+    """Let the silent store respond again right after a call was lost.
 
-    This is the worst moment: the entry VM waits for an answer to that call,
-    which does not come, for as long as it waits for any.
+    This is the worst moment: the entry VM waits for the response to that call
+    until its timeout.
     """
     made.store.held.clear()
     await made.wait_for(lambda: topic in made.store.held)
@@ -28,18 +28,17 @@
     return trio.current_time()
 
 
-def test_endpoint_that_left_during_an_own_outage_gets_nothing():
-    """Callers' requests are sent to a server long after it has left.
+def test_endpoint_removed_during_an_entry_vms_own_outage_gets_no_requests():
+    """Requests are sent to a server long after its entry was removed.
 
-    The store leaves one entry VM without an answer and serves the others.
-    Meanwhile a server's entry is removed. The entry VM reaches the store
-    again, finds the entry missing, and takes its own outage for one of the
-    store, in which entries of living servers lapse as well. So it waits for
-    this one to come back, 2.2 s from when its last poll of the outage has
-    failed, and then for the end of a poll. The other entry VMs logged
-    "entry removed" at 36.01 s, this one "missing since the store returned"
-    at 48.74 s, where the store had answered it again from 45.0 s on;
-    requests reached the server at 48.06 and 48.62 s.
+    The store does not answer one entry VM, serves the others, and meanwhile a
+    server's entry is removed. On reconnecting, the entry VM takes its own
+    outage for one of the store, in which entries of live servers expire too.
+    So it waits for the entry to return for 2.2 s after the last failed poll,
+    and then for the end of a poll. The other entry VMs logged "entry removed"
+    at 36.01 s, this one "missing since the store returned" at 48.74 s, though
+    the store answered it from 45.0 s on; requests reached the server at 48.06
+    and 48.62 s.
     """
 
     async def main():
@@ -59,14 +58,14 @@
     trio.run(main)
 
 
-def test_lapsed_endpoint_that_stays_away_is_dropped_in_time():
-    """A server that died in an outage of the store is still sent work.
+def test_expired_endpoint_that_does_not_return_is_dropped_in_time():
+    """A server that died in an outage of the store still gets requests.
 
-    The store was away for all, and all entries have run out. One server
-    writes its entry again at once, the other has gone. Its entry was waited
-    for from when the last poll of the outage had failed, a second and more
-    after the store had answered another feed, and dropped at the end of a
-    later poll: 3.5 to 4.0 s after the return.
+    The store was down for all entry VMs, and all entries have expired. One
+    server writes its entry again at once, the other has died. If the wait for
+    its entry starts at the last failed poll, a second or more after the store
+    answered another feed, and ends with a later poll, the server is dropped
+    3.5 to 4.0 s after the store's return.
     """
 
     async def main():
--- a/tests/failures/test_forwarding_plain.py
+++ b/tests/failures/test_forwarding_plain.py
@@ -1,4 +1,4 @@
-"""Forwarded requests of plain services, against servers that misbehave."""
+"""Tests of forwarded requests to plain servers that misbehave."""
 
 import trio
 
@@ -11,16 +11,15 @@
     return [backend.Backend(f"desk-{number}") for number in range(count)]
 
 
-def all_runs(desks):
+def list_runs(desks):
     return [run for desk in desks for run in desk.runs]
 
 
-def test_request_reaches_its_server_as_it_was_sent():
-    """A caller sends a body and headers of its own, some of them forged.
+def test_request_is_forwarded_unchanged_without_reserved_headers():
+    """A caller sends a body and headers, some of them reserved.
 
-    The server gets method, target, body and harmless headers unchanged, the
-    customer's name in place of its key, and nothing that only the system
-    may set.
+    The server gets method, target, body and other headers unchanged, the
+    customer's name in place of its key, and no reserved header of the caller.
     """
 
     async def main():
@@ -53,8 +52,8 @@
     trio.run(main)
 
 
-def test_refusals_of_our_own_say_why_and_reach_no_server():
-    """Callers without a route, a key or an id are told so at once."""
+def test_invalid_requests_are_refused_and_reach_no_server():
+    """No route, no valid key, no id, or too large: each has its status."""
 
     async def main():
         (desk,) = make_desks(1)
@@ -78,9 +77,10 @@
 
 
 def test_declined_request_goes_to_another_server():
-    """A full server says that it does not run a request that may run once.
+    """A full server declines a request that may run only once.
 
-    That is proof enough to ask another one; the caller sees one success.
+    It is then certain not to have run, so another server may be tried; the
+    caller sees one success.
     """
 
     async def main():
@@ -91,13 +91,13 @@
             desks[1].behaviours = []
             for _ in range(4):
                 assert (await made.call("POST", "/log/")).status == 200
-        assert len(all_runs(desks)) == 4
+        assert len(list_runs(desks)) == 4
 
     trio.run(main)
 
 
-def test_request_that_all_decline_is_refused_with_a_time_to_come_back():
-    """Both servers are full: the request has not run, and 503 says so."""
+def test_request_that_all_decline_is_refused_with_retry_after():
+    """Both servers are full: 503 says that the request has not run."""
 
     async def main():
         desks = make_desks()
@@ -107,65 +107,66 @@
             answer = await made.call("POST", "/log/")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
-        assert not all_runs(desks)
+        assert not list_runs(desks)
 
     trio.run(main)
 
 
-def check_unsafe_is_not_repeated(behaviour):
+def check_unsafe_request_runs_once(behaviour):
     async def main():
         desks = make_desks()
         for desk in desks:
             desk.always = behaviour
         async with forwarding.open_forwarding(*desks) as made:
             answer = await made.call("POST", "/log/")
-        # Anything that says "not run" would have the caller send it again.
+        # These statuses say that it has not run; the caller would retry.
         assert answer.status not in (200, 408, 421, 429, 503)
-        assert len(all_runs(desks)) == 1
+        assert len(list_runs(desks)) == 1
 
     trio.run(main)
 
 
-def test_log_whose_answer_is_lost_runs_once_and_is_not_called_not_run():
-    """The server logs the parcel, then its connection is reset.
+def test_unsafe_request_whose_response_is_lost_runs_once():
+    """The server runs the request, then its connection is reset.
 
-    A second run would log it twice; "not run" would have the caller do so.
+    A retry would run it twice; a status for "has not run" would make the
+    caller retry.
     """
-    check_unsafe_is_not_repeated(backend.lose_answer)
+    check_unsafe_request_runs_once(backend.lose_answer)
 
 
-def test_log_with_junk_for_an_answer_runs_once():
-    """The server runs the request and sends bytes that are no HTTP."""
-    check_unsafe_is_not_repeated(backend.answer_junk)
+def test_unsafe_request_with_a_malformed_response_runs_once():
+    """The server runs the request and sends bytes that are not HTTP."""
+    check_unsafe_request_runs_once(backend.answer_junk)
 
 
-def test_log_with_a_short_answer_runs_once():
-    """The answer ends before its announced length."""
-    check_unsafe_is_not_repeated(backend.answer_short)
+def test_unsafe_request_with_a_truncated_response_runs_once():
+    """The response is shorter than its Content-Length."""
+    check_unsafe_request_runs_once(backend.answer_short)
 
 
-def test_log_with_another_requests_answer_runs_once():
-    """The answer names another request; it must not reach this caller."""
-    check_unsafe_is_not_repeated(backend.answer_foreign)
+def test_unsafe_request_with_another_requests_response_runs_once():
+    """The response has another request's id; it must not be relayed."""
+    check_unsafe_request_runs_once(backend.answer_foreign)
 
 
-def test_log_with_an_unsealed_success_runs_once():
-    """A success without the server's mark is not the server's."""
-    check_unsafe_is_not_repeated(backend.answer_unsealed)
+def test_unsafe_request_with_an_unsigned_success_runs_once():
+    """A success without the server's signature does not come from it."""
+    check_unsafe_request_runs_once(backend.answer_unsealed)
 
 
-def test_log_that_failed_with_503_is_not_called_not_run():
-    """A server logs the parcel, then answers 503 without its word.
+def test_unsafe_request_that_failed_with_503_is_not_reported_as_not_run():
+    """A server runs the request, then responds with 503 but does not decline.
 
-    Passed on, the caller reads "not run" and logs the parcel again.
+    If that were relayed, the caller would take it for not run and retry.
     """
-    check_unsafe_is_not_repeated(backend.fail_as_if_full)
+    check_unsafe_request_runs_once(backend.fail_as_if_full)
 
 
-def test_refused_callers_are_told_to_come_back_apart():
+def test_retry_after_differs_between_refused_callers():
     """All servers are full, and many callers are refused at once.
 
-    Told the same time, they would come back together.
+    With the same Retry-After they would all retry at the same moment.
     """
 
     async def main():
@@ -182,7 +183,7 @@
     trio.run(main)
 
 
-def check_safe_is_asked_again(behaviour):
+def check_safe_request_is_retried(behaviour):
     async def main():
         desks = make_desks()
         async with forwarding.open_forwarding(*desks) as made:
@@ -200,8 +201,8 @@
     trio.run(main)
 
 
-def test_lookup_is_asked_again_after_each_kind_of_bad_answer():
-    """A lookup may run twice: a spoilt answer costs a try, not the caller."""
+def test_safe_request_is_retried_after_each_kind_of_bad_response():
+    """A safe request may run twice: a bad response costs one attempt only."""
     for behaviour in (
         backend.lose_answer,
         backend.answer_junk,
@@ -210,11 +211,11 @@
         backend.answer_unsealed,
         backend.fail,
     ):
-        check_safe_is_asked_again(behaviour)
+        check_safe_request_is_retried(behaviour)
 
 
-def test_lookup_succeeds_when_only_the_first_answer_is_spoilt():
-    """One server resets, the other is well: the caller sees a success."""
+def test_safe_request_succeeds_when_only_the_first_response_is_bad():
+    """One server resets the connection; the retry at the other succeeds."""
 
     async def main():
         desks = make_desks()
@@ -229,11 +230,11 @@
     trio.run(main)
 
 
-def test_bytes_behind_an_answer_reach_nobody():
-    """A server sends two answers to one request.
+def test_bytes_after_a_response_are_discarded():
+    """A server sends two responses to one request.
 
-    The second one lies on the connection when the next request comes; it
-    must not be taken for that one's answer.
+    If the connection were reused, the second one would be taken for the
+    response to the next request.
     """
 
     async def main():
@@ -248,8 +249,8 @@
     trio.run(main)
 
 
-def test_answer_without_length_is_whole_when_its_connection_ends():
-    """Some servers end an answer by closing, which HTTP/1.1 allows."""
+def test_response_without_length_ends_with_its_connection():
+    """Some servers end a response by closing, which HTTP/1.1 allows."""
 
     async def main():
         (desk,) = make_desks(1)
@@ -261,11 +262,11 @@
     trio.run(main)
 
 
-def test_run_ends_when_its_caller_leaves():
-    """A caller closes its connection while the server works.
+def test_run_is_cancelled_when_its_caller_disconnects():
+    """A caller closes its connection while the server runs its request.
 
-    The server must see its own connection closed within half a second, or
-    it works on for nobody.
+    The server's connection must be closed within half a second, or the
+    server goes on with a request that nobody waits for.
     """
 
     async def main():
@@ -282,12 +283,12 @@
     trio.run(main)
 
 
-def test_request_reaches_the_one_server_that_can_be_reached():
-    """A zone is cut off; one of its own seven servers is left to it.
+def test_request_reaches_the_only_reachable_server():
+    """A failure domain is partitioned; it can reach one of seven servers.
 
-    Connections to the others are refused at once. Three of them were tried,
-    and the request was refused, though the seventh had nothing to do. And
-    each request after it tried the same ones again.
+    Connections to the others are refused at once. If they count towards the
+    three attempts, a request is refused though the seventh server is idle; if
+    they are not quarantined, each request tries them again.
     """
 
     async def main():
@@ -307,30 +308,30 @@
                 answer = await made.call("POST", "/log/")
                 assert answer.status == 200
             counters = made.daemon.app.measures.counters
-            tried = sum(
+            unreached_attempts = sum(
                 count
                 for (name, labels), count in counters.items()
                 if name == "attempts" and "unreached" in str(labels)
             )
-        assert tried <= 12
+        assert unreached_attempts <= 12
         assert len(desks[0].runs) == 20
 
     trio.run(main)
 
 
-def test_server_that_declines_everything_is_not_the_favourite():
-    """One of three servers sheds all that it is sent.
+def test_server_that_declines_everything_is_not_preferred():
+    """One of three servers declines all requests.
 
-    It is always idle, so that nearly every request went there first: 18 of 20
-    needed a second run, the extra runs were used up, and callers were refused
-    with two servers idle.
+    It always looks idle, so without a quarantine nearly every request goes
+    there first: 18 of 20 needed a second run, the retry budget was used up,
+    and callers were refused with two servers idle.
     """
 
     async def main():
         desks = make_desks(3)
         desks[0].always = backend.decline
         for desk in desks[1:]:
-            desk.always = answer_slowly
+            desk.always = respond_slowly
         statuses: list[int] = []
         async with forwarding.open_forwarding(*desks, retry_slack=0) as made:
 
@@ -348,17 +349,17 @@
     trio.run(main)
 
 
-async def answer_slowly(server, exchange):
-    """Work for a while, as a busy server does."""
+async def respond_slowly(server, exchange):
+    """Respond after a delay, as a busy server does."""
     await trio.sleep(0.05)
     await backend.run_well(server, exchange)
 
 
-def test_silent_server_costs_the_routes_time_and_no_more():
-    """A server takes a request and never answers.
+def test_silent_server_ends_in_504_at_the_routes_timeout():
+    """A server accepts a request and never responds.
 
-    The route's time limit ends the wait; as it may have run, the answer
-    promises nothing.
+    The route's timeout ends the wait. As the request may have run, the status
+    must not say that it has not.
     """
 
     async def main():
@@ -374,11 +375,11 @@
     trio.run(main)
 
 
-def test_reused_address_turns_the_request_away():
-    """A server has gone and another service has its address.
+def test_request_to_a_reused_address_is_declined():
+    """A server has gone and another process has its address.
 
-    The new process answers that it is not the expected one; nothing runs,
-    and another server of the pool takes the request.
+    The new process responds that it is not the expected instance; the request
+    does not run there, and another server of the pool serves it.
     """
 
     async def main():
--- a/tests/failures/test_forwarding_streams.py
+++ b/tests/failures/test_forwarding_streams.py
@@ -1,4 +1,4 @@
-"""Forwarded streams: models by confidence, resumption, what breaks off."""
+"""Tests of forwarded streams: escalation, resumption and truncation."""
 
 import attrs
 import httpcore
@@ -18,7 +18,7 @@
     ]
 
 
-def models_of(engines):
+def list_models(engines):
     return sorted(
         run.request.headers["carawayward-model"]
         for engine in engines
@@ -26,8 +26,8 @@
     )
 
 
-def test_sure_answer_of_the_smallest_model_is_kept():
-    """The small model is sure of its answer: no other model is asked."""
+def test_confident_answer_of_the_smallest_model_is_kept():
+    """The small model's confidence is high: no other model is asked."""
 
     async def main():
         engines = make_engines(confidence={"small": 90.0})
@@ -35,16 +35,16 @@
             answer = await made.ask_engine()
         assert answer.status == 200
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
-        assert models_of(engines) == ["small"]
+        assert list_models(engines) == ["small"]
 
     trio.run(main)
 
 
-def test_unsure_answer_climbs_before_the_caller_sees_any_of_it():
-    """The small model thinks little of its answer.
+def test_low_confidence_escalates_before_the_caller_gets_any_event():
+    """The small model's confidence is low.
 
-    It is dropped and the largest model asked; the caller sees one stream,
-    whole and from the start.
+    Its answer is dropped and the largest model asked; the caller gets one
+    complete stream from the start.
     """
 
     async def main():
@@ -52,18 +52,17 @@
         async with forwarding.open_forwarding(*engines) as made:
             answer = await made.ask_engine()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
-        assert models_of(engines) == ["large", "small"]
+        assert list_models(engines) == ["large", "small"]
 
     trio.run(main)
 
 
-def test_resumed_stream_goes_on_with_the_model_that_is_sure_of_it():
-    """Entry VMs are killed, and their callers come back for the rest.
+def test_resumed_stream_continues_with_the_model_that_began_it():
+    """An entry VM is killed, and its caller resumes the stream at another.
 
-    Which model gave the first part is not known here. The one whose answer
-    would be kept now is the one that gave it: a request of which the smallest
-    is sure had its words, any other the largest's, and the two are not to be
-    joined.
+    Which model gave the first part is not known there, and answers of two
+    models must not be joined. The confidence decides as it did at first: if
+    the smallest model's is high it gave the first part, else the largest did.
     """
 
     async def ask(confidence):
@@ -71,16 +70,16 @@
         async with forwarding.open_forwarding(*engines) as made:
             answer = await made.ask_engine(last_event_id="2")
         assert forwarding.read_numbers(answer.body) == [3, 4]
-        return models_of(engines)
+        return list_models(engines)
 
     assert trio.run(ask, 10.0) == ["large", "small"]
     assert trio.run(ask, 90.0) == ["small"]
 
 
-def test_broken_stream_goes_on_elsewhere_from_the_last_whole_event():
-    """An engine breaks off amid the third event.
+def test_truncated_stream_is_resumed_after_the_last_complete_event():
+    """An engine fails in the middle of the third event.
 
-    The caller gets each event once and in order, under the headers of the
+    The caller gets each event once and in order, with the headers of the
     first engine.
     """
 
@@ -104,26 +103,26 @@
     trio.run(main)
 
 
-def test_stream_whose_keys_lapsed_meanwhile_goes_on_elsewhere():
-    """A failure domain is cut off in the middle of a digest.
+def test_stream_is_resumed_though_its_key_can_no_longer_be_validated():
+    """A failure domain is partitioned in the middle of a stream.
 
-    Its key was good when the request came. When its engine is lost the keys
-    can no longer be proved here; the other engine finishes the digest, as the
-    first would have done. Cause: a run that goes on was taken for a new one.
+    The key was valid when the request came. When the engine fails, keys can no
+    longer be validated here; another engine must finish the stream all the
+    same. A check as for a new request would refuse it.
     """
 
     async def main():
         engines = make_engines()
         async with forwarding.open_forwarding(*engines) as made:
-            break_off = backend.break_after(2)
+            truncate = backend.break_after(2)
 
-            async def lapse_and_break(engine, exchange):
+            async def expire_keys_and_truncate(engine, exchange):
                 board = made.daemon.board
                 board.bounds = attrs.evolve(board.bounds, key_lease_ms=0)
-                await break_off(engine, exchange)
+                await truncate(engine, exchange)
 
             for engine in engines:
-                engine.behaviours = [lapse_and_break]
+                engine.behaviours = [expire_keys_and_truncate]
             answer = await made.ask_engine()
             refused = await made.ask_engine()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
@@ -132,8 +131,8 @@
     trio.run(main)
 
 
-def test_stream_that_nobody_finishes_is_visibly_broken():
-    """Every engine breaks off: the caller must not take it for whole."""
+def test_stream_that_no_engine_completes_is_visibly_truncated():
+    """Every engine fails: the caller must not take the stream as complete."""
 
     async def main():
         engines = make_engines(events=9, confidence={"small": 90.0})
@@ -144,15 +143,15 @@
                 await made.ask_engine()
             except httpcore.RemoteProtocolError:
                 return
-        raise AssertionError("the broken stream looked complete")
+        raise AssertionError("the truncated stream looked complete")
 
     trio.run(main)
 
 
-def test_gap_in_a_stream_is_not_passed_on():
-    """A resumed engine skips an event; joined, the answer would lack it."""
+def test_stream_with_a_missing_event_is_not_relayed():
+    """An engine skips an event, which the caller's answer would lack."""
 
-    async def skip(engine, exchange):
+    async def skip_event(engine, exchange):
         engine.begin(exchange).ended = "gap"
         await exchange.begin_stream(
             {**engine.seal(exchange), "content-type": "text/event-stream"}
@@ -164,7 +163,7 @@
     async def main():
         engines = make_engines()
         for engine in engines:
-            engine.behaviours = [skip]
+            engine.behaviours = [skip_event]
         async with forwarding.open_forwarding(*engines) as made:
             answer = await made.ask_engine()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
@@ -172,10 +171,10 @@
     trio.run(main)
 
 
-def test_events_of_one_piece_and_pieces_of_one_event():
-    """Engines cut their stream anywhere; callers get whole events."""
+def test_events_are_complete_however_the_stream_is_chunked():
+    """Chunks end in the middle of events; callers get complete events."""
 
-    async def slice_up(engine, exchange):
+    async def send_in_small_chunks(engine, exchange):
         engine.begin(exchange).ended = "ok"
         await exchange.begin_stream(
             {**engine.seal(exchange), "content-type": "text/event-stream"}
@@ -187,7 +186,7 @@
 
     async def main():
         (engine,) = make_engines(1)
-        engine.always = slice_up
+        engine.always = send_in_small_chunks
         async with forwarding.open_forwarding(engine) as made:
             answer = await made.ask_engine()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4, 5]
@@ -195,11 +194,11 @@
     trio.run(main)
 
 
-def test_event_without_end_is_given_up_and_asked_for_elsewhere():
-    """An engine sends one event that never ends; memory is bounded."""
+def test_endless_event_is_limited_and_its_stream_retried_elsewhere():
+    """An engine sends one event without end, which would fill the memory."""
 
-    async def babble(engine, exchange):
-        engine.begin(exchange).ended = "babble"
+    async def send_endless_event(engine, exchange):
+        engine.begin(exchange).ended = "endless"
         await exchange.begin_stream(
             {**engine.seal(exchange), "content-type": "text/event-stream"}
         )
@@ -209,7 +208,7 @@
     async def main():
         engines = make_engines()
         for engine in engines:
-            engine.behaviours = [babble]
+            engine.behaviours = [send_endless_event]
         async with forwarding.open_forwarding(*engines) as made:
             answer = await made.ask_engine()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
@@ -217,8 +216,8 @@
     trio.run(main)
 
 
-def test_stream_that_does_not_end_is_broken_off_at_the_routes_time():
-    """An engine streams on past the route's time limit."""
+def test_stream_that_does_not_end_is_truncated_at_the_routes_timeout():
+    """An engine goes on streaming past the route's timeout."""
 
     async def main():
         (engine,) = make_engines(1, events=10_000, pause_ms=20.0)
@@ -237,11 +236,11 @@
     trio.run(main)
 
 
-def test_entry_vms_tell_each_other_what_engines_have_to_read():
+def test_entry_vms_report_the_load_of_engines_to_each_other():
     """Two entry VMs send long prompts at the same time.
 
-    Each knows of the other's within a moment, so the second prompt goes to
-    the idle engine rather than behind the first.
+    The second must know of the first's load within 0.2 s, or it may send its
+    prompt to the same engine while the other one is idle.
     """
 
     async def main():
@@ -275,8 +274,8 @@
     trio.run(main)
 
 
-def fill_engines(made, engines, weight):
-    """Have the entry VM believe that each engine has so much to read."""
+def add_load(made, engines, weight):
+    """Add ``weight`` to the outstanding load that is known of each engine."""
     placer = made.daemon.app.forwarder.placer
     for engine in engines:
         load = engine_load.Load(weight, 1)
@@ -284,67 +283,67 @@
     return placer.fleet.get_latency_model("engines")
 
 
-def test_prompt_that_no_engine_reads_in_time_is_refused_at_once():
-    """An inspector waits five seconds for a summary and gets nothing.
+def test_prompt_that_no_engine_can_read_in_time_is_refused_at_once():
+    """A caller waits five seconds and gets nothing.
 
-    Engines are ten seconds behind. Cause: the request is queued behind all
-    that, and read though its caller has left by then.
+    The engines have a backlog of ten seconds. Queued behind it, the prompt is
+    read only after its caller has left.
     """
 
     async def main():
         engines = make_engines()
         async with forwarding.open_forwarding(*engines) as made:
-            pace = fill_engines(made, engines, 1e6)
-            pace.token_ms = 0.01
+            latency_model = add_load(made, engines, 1e6)
+            latency_model.token_ms = 0.01
             began = trio.current_time()
             answer = await made.ask_engine()
             assert answer.status == 503
             assert trio.current_time() - began < 0.5
-            # Ten seconds behind, less the target of 0.3 s.
+            # The backlog of ten seconds, less the target of 0.3 s.
             assert float(answer.headers["retry-after"]) > 7.0
             assert not any(engine.runs for engine in engines)
 
     trio.run(main)
 
 
-def test_idle_engine_is_tried_whatever_the_pace_that_was_learned():
-    """An entry VM stood still for some seconds, and all heads seemed late.
+def test_idle_engine_is_tried_whatever_latency_is_predicted():
+    """An entry VM was suspended for seconds, and all responses seemed late.
 
-    What it learned of the engines' pace then makes every request hopeless.
-    Refused without a try, none could ever teach it better.
+    With the latencies measured then, each prediction exceeds the deadline. If
+    every request were refused for that, the latency model could not recover.
     """
 
     async def main():
         engines = make_engines()
         async with forwarding.open_forwarding(*engines) as made:
             placer = made.daemon.app.forwarder.placer
-            pace = placer.fleet.get_latency_model("engines")
-            pace.base_ms = 60_000.0
+            latency_model = placer.fleet.get_latency_model("engines")
+            latency_model.base_ms = 60_000.0
             answer = await made.ask_engine()
             assert answer.status == 200
-            assert pace.base_ms < 60_000.0
+            assert latency_model.base_ms < 60_000.0
 
     trio.run(main)
 
 
-def test_head_that_comes_late_because_of_load_is_waited_for():
-    """A digest is read three times over, each time on a busier engine.
+def test_first_token_that_is_late_because_of_load_is_waited_for():
+    """A prompt is read three times, each time on a busier engine.
 
-    Engines take 1.5 s to a first text. Cause: the wait for it ends at a part
-    of the caller's time, though no other engine would be sooner.
+    Engines need 1.5 s to the first token. The attempt times out after a part
+    of the caller's time, though no other engine would be faster.
     """
 
-    async def answer_late(engine, exchange):
+    async def respond_late(engine, exchange):
         await trio.sleep(1.0)
         await backend.run_well(engine, exchange)
 
     async def main():
         engines = make_engines()
         for engine in engines:
-            engine.always = answer_late
+            engine.always = respond_late
         async with forwarding.open_forwarding(*engines) as made:
-            pace = fill_engines(made, engines, 1e6)
-            pace.token_ms = 0.001
+            latency_model = add_load(made, engines, 1e6)
+            latency_model.token_ms = 0.001
             answer = await made.ask_engine(carawayward_deadline_ms="1600")
             assert answer.status == 200
             assert sum(engine.arrivals for engine in engines) == 1
