--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -276,7 +276,7 @@
 def make_candidates(count: int) -> placement.Candidates:
     """An index of endpoints that can all serve."""
     return placement.Candidates.from_views(
-        placement.View(
+        placement.EndpointView(
             name=f"endpoint-{number}", failure_domain=f"domain-{number % 5}"
         )
         for number in range(count)
--- a/bench/rig_node.py
+++ b/bench/rig_node.py
@@ -38,7 +38,7 @@
     """A queued job with what its item needs."""
 
     job: rig_world.Job
-    item: queueing.Item
+    item: queueing.WaitingRequest
 
 
 @attrs.define(eq=False, kw_only=True)
@@ -51,35 +51,39 @@
     engines: dict[str, rig_world.Engine]
     draw: random.Random
     ended: typing.Callable[[rig_world.Job], None]
-    book: suspicion.SuspectBook
+    book: suspicion.SuspectRecords
     weights: float
     entry_vms: int
     is_cut: typing.Callable[[str, str], bool]
     raw: dict[str, float] = attrs.field(factory=dict)
-    views: dict[str, placement.View] = attrs.field(factory=dict)
+    views: dict[str, placement.EndpointView] = attrs.field(factory=dict)
     candidates: placement.Candidates = attrs.field(init=False)
     queue: queueing.FairQueue = attrs.field(factory=queueing.FairQueue)
-    times: admission.WorkTimes = attrs.field(factory=admission.WorkTimes)
-    promises: admission.Promises = attrs.field(factory=admission.Promises)
+    times: admission.ServiceTimes = attrs.field(factory=admission.ServiceTimes)
+    promises: admission.RetrySchedule = attrs.field(
+        factory=admission.RetrySchedule
+    )
     retries: retry.Budget = attrs.field(factory=retry.Budget)
     hedges: retry.Budget = attrs.field(
         factory=lambda: retry.Budget(retry.HEDGE_SHARE)
     )
-    first_times: retry.FirstText = attrs.field(factory=retry.FirstText)
+    first_times: retry.TtftEstimate = attrs.field(factory=retry.TtftEstimate)
     side: list[rig_world.Job] = attrs.field(factory=list)
     turn: int = 0
     runs_begun: int = 0
     live: dict[rig_world.Job, list[rig_world.Run]] = attrs.field(factory=dict)
-    items: dict[rig_world.Job, queueing.Item] = attrs.field(factory=dict)
+    items: dict[rig_world.Job, queueing.WaitingRequest] = attrs.field(
+        factory=dict
+    )
 
     def __attrs_post_init__(self) -> None:
         for engine in self.engines.values():
-            view = placement.View(
+            view = placement.EndpointView(
                 name=engine.name, failure_domain=engine.failure_domain
             )
             limits.restart(view.limit, self.entry_vms)
             if not self.policy.has("limits"):
-                view.limit.value = limits.MOST
+                view.limit.value = limits.MAX_LIMIT
             self.views[engine.name] = view
         self.candidates = placement.Candidates.from_views(self.views.values())
 
@@ -99,13 +103,13 @@
         if self._refuse_convicted(job):
             return
         name = job.customer if self.policy.has("fairness") else "all"
-        work = admission.expect_work(self.times, job.customer)
+        work = admission.estimate_service_ms(self.times, job.customer)
         latest = job.deadline
         if self.policy.has("hopeless"):
             latest = admission.find_latest_start(
                 self.times, job.customer, self.loop.now, job.deadline
             )
-        item = queueing.Item(
+        item = queueing.WaitingRequest(
             customer=name,
             weight=job.weight if self.policy.has("fairness") else 1.0,
             work=work,
@@ -128,14 +132,16 @@
             self.loop.at(latest, lambda: self._drop_hopeless(job))
         self.pump()
 
-    def _decide(self, item: queueing.Item) -> admission.Refusal | None:
+    def _decide(
+        self, item: queueing.WaitingRequest
+    ) -> admission.Refusal | None:
         slots = sum(view.limit.value for view in self.views.values())
         promises = self.promises
         if not self.policy.has("promises"):
-            promises = admission.Promises()
+            promises = admission.RetrySchedule()
         weights = self.weights if self.policy.has("fairness") else 1.0
-        places = admission.share_places(PLACES, item.weight, weights)
-        return admission.decide(
+        places = admission.compute_queue_limit(PLACES, item.weight, weights)
+        return admission.check_admission(
             self.queue, item, self.loop.now, slots, places, promises
         )
 
@@ -170,7 +176,7 @@
 
     def _choose_own(
         self, job: rig_world.Job, excluded: frozenset[str]
-    ) -> placement.View | None:
+    ) -> placement.EndpointView | None:
         key = None
         if job.prefix >= 0 and self.policy.has("affinity"):
             key = placement.hash_key(f"prefix {job.prefix}")
@@ -193,15 +199,15 @@
 
     def _find_unbounded(
         self, key: int, excluded: frozenset[str]
-    ) -> placement.View | None:
+    ) -> placement.EndpointView | None:
         """The ring's first open endpoint, however busy."""
         most = placement.RING_WALK
         for view in placement.walk_ring(self.candidates, key, most):
-            if placement.is_open(view, self.loop.now, excluded):
+            if placement.is_available(view, self.loop.now, excluded):
                 return view
         return None
 
-    def _choose_baseline(self, job: rig_world.Job) -> placement.View:
+    def _choose_baseline(self, job: rig_world.Job) -> placement.EndpointView:
         views = [
             view
             for view in self.candidates.views
@@ -219,7 +225,7 @@
             key=lambda v: (v.in_flight + self.raw.get(v.name, 0.0), v.name),
         )
 
-    def _start(self, job: rig_world.Job, view: placement.View) -> None:
+    def _start(self, job: rig_world.Job, view: placement.EndpointView) -> None:
         view.in_flight += 1
         if self.policy.has("ejection"):
             health.begin_probe(view.health)
@@ -232,7 +238,7 @@
         self.live.setdefault(job, []).append(run)
         if not self.is_cut(self.failure_domain, engine.failure_domain):
             engine.begin(run)
-        delay = retry.find_hedge_delay(self.first_times)
+        delay = retry.compute_hedge_delay(self.first_times)
         first = len(self.live.get(job, ())) == 1
         if self.policy.has("hedging") and delay is not None and first:
             self.loop.at(self.loop.now + delay, lambda: self._hedge(job, run))
@@ -240,7 +246,7 @@
     def _record_first(self, run: rig_world.Run) -> None:
         """The first text of a run: it is kept and the others cancelled."""
         took = self.loop.now - run.began
-        retry.record_first_text(self.first_times, took)
+        retry.record_ttft(self.first_times, took)
         self._stop_others(run.job, run)
 
     def _hedge(self, job: rig_world.Job, first: rig_world.Run) -> None:
@@ -264,13 +270,15 @@
                 self._retry(job, view.name, how)
         self.pump()
 
-    def _record_answer(self, run: rig_world.Run, view: placement.View) -> None:
+    def _record_answer(
+        self, run: rig_world.Run, view: placement.EndpointView
+    ) -> None:
         took = self.loop.now - run.began
         unit = took / (run.job.tokens + UNIT_BASE)
         if self.policy.has("limits"):
             if self.policy.has("part"):
-                others = view.others
-                limits.record_part(
+                others = view.other_load
+                limits.record_load_part(
                     view.limit, view.in_flight + 1, others, self.entry_vms
                 )
             limits.record_answer(view.limit, unit, view.in_flight + 1)
@@ -280,12 +288,12 @@
             ):
                 limits.restart(view.limit, self.entry_vms)
             self._judge(view)
-        admission.record_work(self.times, run.job.customer, took)
+        admission.record_service_time(self.times, run.job.customer, took)
         retry.record_success(self.retries)
         retry.record_success(self.hedges)
 
     def _record_failure(
-        self, run: rig_world.Run, view: placement.View, how: str
+        self, run: rig_world.Run, view: placement.EndpointView, how: str
     ) -> None:
         if how == "crashed" and run.job.killer:
             crash = suspicion.Crash(
@@ -296,9 +304,9 @@
             health.record_failure(view.health)
             self._judge(view)
 
-    def _judge(self, view: placement.View) -> None:
+    def _judge(self, view: placement.EndpointView) -> None:
         pool = [other.health for other in self.candidates.views]
-        health.judge(view.health, pool, self.loop.now)
+        health.eject_if_outlier(view.health, pool, self.loop.now)
 
     def _retry(self, job: rig_world.Job, failed: str, how: str) -> None:
         job.excluded |= {failed}
@@ -351,7 +359,7 @@
             queueing.remove(self.queue, item)
         for run in self.live.get(job, ()):
             took = self.loop.now - run.began
-            admission.record_work(self.times, job.customer, took)
+            admission.record_service_time(self.times, job.customer, took)
         self._stop_others(job, None)
         self._finish(job, "late")
         self.pump()
@@ -373,20 +381,22 @@
     now_ms: float,
     draw: placement.Draw,
     excluded: frozenset[str] = frozenset(),
-) -> placement.View | None:
+) -> placement.EndpointView | None:
     """Own placement without two choices: the lowest score of all."""
-    placement.refresh(candidates)
+    placement.refresh_means(candidates)
     if key is not None:
-        home = placement.find_home(candidates, key, now_ms, excluded)
+        home = placement.find_affine_endpoint(
+            candidates, key, now_ms, excluded
+        )
         if home is not None:
             return home
     open_views = [
         view
         for view in candidates.views
-        if placement.is_open(view, now_ms, excluded)
+        if placement.is_available(view, now_ms, excluded)
     ]
     return min(
         open_views,
-        key=lambda view: placement.score(view, candidates.pool_ms),
+        key=lambda view: placement.compute_cost(view, candidates.pool_ms),
         default=None,
     )
--- a/bench/rig_scenarios.py
+++ b/bench/rig_scenarios.py
@@ -91,7 +91,7 @@
         self.arrivals.seed(scenario.seed)
         self.engines = rig_world.make_engines(self.loop, ENGINES, DOMAINS)
         by_name = {engine.name: engine for engine in self.engines}
-        book = suspicion.SuspectBook()
+        book = suspicion.SuspectRecords()
         for number in range(scenario.nodes):
             self.nodes.append(
                 rig_node.Node(
--- a/bench/rig_timing.py
+++ b/bench/rig_timing.py
@@ -32,7 +32,7 @@
     by_version: dict[str, list] = {f"v{n}": [] for n in range(versions)}
     draw = random.Random(endpoints)
     for number in range(endpoints):
-        view = placement.View(
+        view = placement.EndpointView(
             name=f"e{number}", failure_domain=f"d{number % 5}"
         )
         view.limit.value = 8.0
@@ -52,14 +52,14 @@
     began = time.perf_counter()
     candidates = placement.Candidates.from_views(views)
     index_ms = (time.perf_counter() - began) * 1000
-    queue, promises = queueing.FairQueue(), admission.Promises()
+    queue, promises = queueing.FairQueue(), admission.RetrySchedule()
     draw = random.Random(7)
     keys = [placement.hash_key(f"p{n}") for n in range(RING_KEYS)]
     taken: list[int] = []
-    running: list[placement.View] = []
+    running: list[placement.EndpointView] = []
     gc.disable()
     for number in range(DECISIONS):
-        item = queueing.Item(
+        item = queueing.WaitingRequest(
             customer=f"c{number % CUSTOMERS}",
             weight=1.0,
             work=500.0,
@@ -67,7 +67,7 @@
         )
         key = keys[draw.randrange(RING_KEYS)]
         start = time.perf_counter_ns()
-        admission.decide(queue, item, 0.0, 100.0, 200, promises)
+        admission.check_admission(queue, item, 0.0, 100.0, 200, promises)
         queueing.push(queue, item)
         head = queueing.list_heads(queue)[0]
         view = placement.choose(candidates, key, "d0", 0.0, draw.randrange)
--- a/bench/rollout_evidence.py
+++ b/bench/rollout_evidence.py
@@ -67,8 +67,10 @@
         part = now_s / self.duration_s
         exposure = self.make_exposure()
         if self.opened_s is None or self.verdict is canary.Verdict.BAD:
-            return canary.find_share(part, self.verdict, exposure)
-        room = canary.has_room(part, self.duration_s * 1000.0, exposure)
+            return canary.compute_share(part, self.verdict, exposure)
+        room = canary.may_start_session(
+            part, self.duration_s * 1000.0, exposure
+        )
         return float(room)
 
     def send(self, now_s: float) -> None:
--- a/src/carawayward/controllers/budgets.py
+++ b/src/carawayward/controllers/budgets.py
@@ -7,7 +7,7 @@
 from carawayward.decisions import exposure
 from carawayward import quality
 
-Accounts = dict[quality.Account, dict[str, exposure.Spent]]
+Accounts = dict[quality.Account, dict[str, exposure.ExposureAccount]]
 
 
 def list_rows(accounts: Accounts) -> list[list]:
@@ -30,7 +30,7 @@
         if not may_take(account, str(origin)):
             continue
         known = accounts.setdefault(account, {})
-        known[str(origin)] = exposure.merge_spent(
-            known.get(str(origin), exposure.Spent()),
-            exposure.Spent(float(spent), float(earned)),
+        known[str(origin)] = exposure.merge_accounts(
+            known.get(str(origin), exposure.ExposureAccount()),
+            exposure.ExposureAccount(float(spent), float(earned)),
         )
--- a/src/carawayward/controllers/orders.py
+++ b/src/carawayward/controllers/orders.py
@@ -132,10 +132,10 @@
 
     def _describe(
         self, members: list[blackboard_module.Endpoint]
-    ) -> list[orders.Seen]:
+    ) -> list[orders.EndpointStatus]:
         now = self.clock.now_ms()
         return [
-            orders.Seen(
+            orders.EndpointStatus(
                 name=endpoint.name,
                 versions=endpoint.versions,
                 silent=now - endpoint.reported_ms > SILENT_AFTER_MS,
@@ -155,7 +155,7 @@
         ]
         if here == endpoint.failure_domain:
             names.append(self.board.name)
-        return orders.choose_orderer(endpoint.name, names) == self.board.name
+        return orders.choose_sender(endpoint.name, names) == self.board.name
 
     async def order_one(
         self,
--- a/src/carawayward/controllers/ratings.py
+++ b/src/carawayward/controllers/ratings.py
@@ -173,7 +173,7 @@
         cell = part.recent_evidence.add(origin, epoch, trial_key, good)
         self._fresh["recent", cell] = None
         if good:
-            self._earn(trial_key.version, exposure.EARNED_BY_GOOD)
+            self._earn(trial_key.version, exposure.EARNED_PER_GOOD_RATING)
 
     def list_tried(self) -> set[str]:
         """Versions of roll-outs under way, and their baselines."""
--- a/src/carawayward/controllers/suspects.py
+++ b/src/carawayward/controllers/suspects.py
@@ -34,7 +34,9 @@
     board: blackboard_module.Blackboard
     clock: clock_module.Clock
     hub: hub_module.PeerHub
-    book: suspicion.SuspectBook = attrs.field(factory=suspicion.SuspectBook)
+    book: suspicion.SuspectRecords = attrs.field(
+        factory=suspicion.SuspectRecords
+    )
     on_trial: collections.Counter[str] = attrs.field(
         factory=collections.Counter
     )
@@ -177,7 +179,7 @@
     async def _tell_slices(self) -> None:
         while True:
             await self.clock.sleep(SLICE_INTERVAL_MS)
-            suspicion.forget(self.book, self.clock.wall_ms())
+            suspicion.drop_expired(self.book, self.clock.wall_ms())
             peers = sorted(self.hub.links)
             facts = self._make_slice()
             if peers and facts:
--- a/src/carawayward/controllers/trial_groups.py
+++ b/src/carawayward/controllers/trial_groups.py
@@ -47,7 +47,7 @@
     assumed = 1 - min((task.target for task in tasks), default=0.9)
     total, most, worst = 0.0, 0.0, ""
     for known, epoch_ms in tables:
-        value, group = exposure.test_version(
+        value, group = exposure.compute_version_evidence(
             make_groups(known, epoch_ms, trial, declared),
             trial.declared.tolerated_drop,
             assumed,
@@ -55,7 +55,7 @@
         total += value / len(tables)
         if value > most:
             most, worst = value, group
-    return worst if exposure.must_halt(total) else ""
+    return worst if exposure.is_halt_due(total) else ""
 
 
 def make_groups(
--- a/src/carawayward/decisions/admission.py
+++ b/src/carawayward/decisions/admission.py
@@ -14,16 +14,16 @@
 
 # The weight of a new observation. A quarter follows a change of the mix
 # within ten answers without jumping at a single long one.
-GAIN = 0.25
-SPREADS = 2.0
-LEAST_PATIENCE = 0.7
+EWMA_GAIN = 0.25
+DEVIATIONS = 2.0
+MAX_RESERVED_PART = 0.7
 # What a request is expected to take before anything is known of its kind.
-UNKNOWN_WORK_MS = 500.0
+DEFAULT_SERVICE_MS = 500.0
 # Nobody is told to come back later than this. A longer promise would rest
 # on a forecast of the load that nothing supports.
-LONGEST_RETRY_MS = 60_000.0
-SHORTEST_RETRY_MS = 50.0
-MOST_KINDS = 4_096
+MAX_RETRY_AFTER_MS = 60_000.0
+MIN_RETRY_AFTER_MS = 50.0
+MAX_KINDS = 4_096
 
 
 class Cause(enum.Enum):
@@ -43,24 +43,24 @@
 
 
 @attrs.define
-class WorkTime:
+class ServiceTime:
     """Learned time on a slot: its mean and its mean deviation, in ms."""
 
-    mean_ms: float = UNKNOWN_WORK_MS
+    mean_ms: float = DEFAULT_SERVICE_MS
     spread_ms: float = 0.0
     samples: int = 0
 
 
 @attrs.define
-class WorkTimes:
+class ServiceTimes:
     """Learned times on a slot, by kind of request and over all."""
 
-    overall: WorkTime = attrs.field(factory=WorkTime)
-    by_kind: dict[str, WorkTime] = attrs.field(factory=dict)
+    overall: ServiceTime = attrs.field(factory=ServiceTime)
+    by_kind: dict[str, ServiceTime] = attrs.field(factory=dict)
 
 
 @attrs.define
-class Promises:
+class RetrySchedule:
     """When each customer's last refused request was told to come back."""
 
     last_ms: dict[str, float] = attrs.field(
@@ -68,23 +68,23 @@
     )
 
 
-def expect_work(times: WorkTimes, kind: str) -> float:
+def estimate_service_ms(times: ServiceTimes, kind: str) -> float:
     """How long a request of ``kind`` will hold a slot on average, in ms."""
     return times.by_kind.get(kind, times.overall).mean_ms
 
 
-def expect_longest(times: WorkTimes, kind: str) -> float:
+def estimate_longest_ms(times: ServiceTimes, kind: str) -> float:
     """How long nearly all requests of ``kind`` take, in ms.
 
     Mean and two deviations, as a retransmission timeout is set: with the
     mean alone, half of what starts at the last moment ends too late.
     """
     known = times.by_kind.get(kind, times.overall)
-    return known.mean_ms + SPREADS * known.spread_ms
+    return known.mean_ms + DEVIATIONS * known.spread_ms
 
 
 def find_latest_start(
-    times: WorkTimes, kind: str, now_ms: float, deadline_ms: float
+    times: ServiceTimes, kind: str, now_ms: float, deadline_ms: float
 ) -> float:
     """The last moment at which a start is likely to end in time.
 
@@ -93,32 +93,36 @@
     left is set aside for the run: a few slow runs on one bad endpoint must not
     make the whole pool look hopeless, or nothing would run to correct it.
     """
-    longest = expect_longest(times, kind)
-    return deadline_ms - min(longest, LEAST_PATIENCE * (deadline_ms - now_ms))
+    longest = estimate_longest_ms(times, kind)
+    return deadline_ms - min(
+        longest, MAX_RESERVED_PART * (deadline_ms - now_ms)
+    )
 
 
-def record_work(times: WorkTimes, kind: str, took_ms: float) -> None:
+def record_service_time(
+    times: ServiceTimes, kind: str, took_ms: float
+) -> None:
     """Learn from a run, also from one that was cut off at its deadline.
 
     Learning from answers alone would make a pool look fast just because
     its slow runs never end.
     """
-    if len(times.by_kind) >= MOST_KINDS and kind not in times.by_kind:
+    if len(times.by_kind) >= MAX_KINDS and kind not in times.by_kind:
         times.by_kind.clear()
     for known in (
         times.overall,
-        times.by_kind.setdefault(kind, WorkTime()),
+        times.by_kind.setdefault(kind, ServiceTime()),
     ):
         if not known.samples:
             known.mean_ms = took_ms
         off = took_ms - known.mean_ms
-        known.mean_ms += GAIN * off
-        known.spread_ms += GAIN * (abs(off) - known.spread_ms)
+        known.mean_ms += EWMA_GAIN * off
+        known.spread_ms += EWMA_GAIN * (abs(off) - known.spread_ms)
         known.samples += 1
 
 
 def predict_wait(
-    queue: queueing.FairQueue, item: queueing.Item, slots: float
+    queue: queueing.FairQueue, item: queueing.WaitingRequest, slots: float
 ) -> float:
     """How long ``item`` would wait for its start, in ms.
 
@@ -143,7 +147,9 @@
     return (ahead + others) / slots
 
 
-def share_places(most_waiting: int, weight: float, weights: float) -> int:
+def compute_queue_limit(
+    most_waiting: int, weight: float, weights: float
+) -> int:
     """How many requests one customer may have waiting.
 
     The places are split by weight among all declared customers, so that a
@@ -152,13 +158,13 @@
     return max(1, int(most_waiting * weight / max(weights, weight)))
 
 
-def decide(
+def check_admission(
     queue: queueing.FairQueue,
-    item: queueing.Item,
+    item: queueing.WaitingRequest,
     now_ms: float,
     slots: float,
     places: int,
-    promises: Promises,
+    promises: RetrySchedule,
 ) -> Refusal | None:
     """Refuse a request that cannot be served in time, or return None.
 
@@ -185,13 +191,13 @@
     else:
         cause = Cause.LATE
     due = max(now_ms + late_by + turn, promises.last_ms[item.customer] + turn)
-    due = min(due, now_ms + LONGEST_RETRY_MS)
+    due = min(due, now_ms + MAX_RETRY_AFTER_MS)
     promises.last_ms[item.customer] = due
-    return Refusal(cause, max(SHORTEST_RETRY_MS, due - now_ms))
+    return Refusal(cause, max(MIN_RETRY_AFTER_MS, due - now_ms))
 
 
 def _find_turn(
-    queue: queueing.FairQueue, item: queueing.Item, slots: float
+    queue: queueing.FairQueue, item: queueing.WaitingRequest, slots: float
 ) -> float:
     """The time between two starts of a customer that is always waiting."""
     weights = item.weight + sum(
--- a/src/carawayward/decisions/cascade.py
+++ b/src/carawayward/decisions/cascade.py
@@ -15,7 +15,7 @@
 from carawayward import declaration
 
 # Chance that a chosen plan misses the target although its bound meets it.
-DELTA = 0.05
+MISS_PROBABILITY = 0.05
 # Under this many ratings of a cascade's parts nothing is learned from them.
 MIN_RATINGS = 30.0
 # Share of a deadline that the usual (95th percentile) time of a plan's
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Parts:
+class CascadeRatings:
     """What ratings say of a cheap and a strong version of one cascade.
 
     ``bands`` are the cheap version's ratings by its own confidence,
@@ -108,19 +108,23 @@
     ]
 
 
-def list_candidates(declared: list[Step], parts: Parts) -> list[Candidate]:
+def list_candidates(
+    declared: list[Step], parts: CascadeRatings
+) -> list[Candidate]:
     """Cheap alone, the check at every threshold, and strong alone."""
     cheap, strong = declared[0], declared[-1]
     alone = attrs.evolve(cheap, accept_at=None)
-    found = [judge(parts, 0, (alone,)), judge_strong(parts, (strong,))]
+    found = [estimate(parts, 0, (alone,)), estimate_strong(parts, (strong,))]
     for band in range(1, evidence_module.BANDS):
         accept_at = band / evidence_module.BANDS
         checked = attrs.evolve(cheap, accept_at=accept_at)
-        found.append(judge(parts, band, (checked, strong)))
+        found.append(estimate(parts, band, (checked, strong)))
     return found
 
 
-def judge(parts: Parts, first_band: int, steps: tuple[Step, ...]) -> Candidate:
+def estimate(
+    parts: CascadeRatings, first_band: int, steps: tuple[Step, ...]
+) -> Candidate:
     """Cost and quality when answers from ``first_band`` on are accepted.
 
     Both parts' ratings are taken in the proportion in which requests meet
@@ -143,13 +147,19 @@
             return Candidate(steps=steps, cost=0.0, lower=0.0, upper=1.0)
         quality += sent_on * count.good / count.total
         samples = min(total, count.total / sent_on)
-    lower = evidence_module.find_lower_bound(quality, samples, DELTA)
-    upper = evidence_module.find_upper_bound(quality, samples, DELTA)
+    lower = evidence_module.compute_lower_bound(
+        quality, samples, MISS_PROBABILITY
+    )
+    upper = evidence_module.compute_upper_bound(
+        quality, samples, MISS_PROBABILITY
+    )
     cost = parts.cheap.cost + sent_on * parts.strong.cost
     return Candidate(steps=steps, cost=cost, lower=lower, upper=upper)
 
 
-def judge_strong(parts: Parts, steps: tuple[Step, ...]) -> Candidate:
+def estimate_strong(
+    parts: CascadeRatings, steps: tuple[Step, ...]
+) -> Candidate:
     """Strong alone, judged by what checks sent on to it.
 
     Those requests are no easier than the mix, so the bound is not too high.
@@ -159,13 +169,17 @@
     return Candidate(
         steps=steps,
         cost=parts.strong.cost,
-        lower=evidence_module.find_lower_bound(quality, count.total, DELTA),
-        upper=evidence_module.find_upper_bound(quality, count.total, DELTA),
+        lower=evidence_module.compute_lower_bound(
+            quality, count.total, MISS_PROBABILITY
+        ),
+        upper=evidence_module.compute_upper_bound(
+            quality, count.total, MISS_PROBABILITY
+        ),
     )
 
 
 def choose_plan(
-    declared: list[Step], parts: Parts | None, target: float
+    declared: list[Step], parts: CascadeRatings | None, target: float
 ) -> list[Step]:
     """The cheapest plan that ratings prove, else the declared one.
 
@@ -181,7 +195,7 @@
         return list(min(proven, key=lambda c: (c.cost, -c.lower)).steps)
     accept_at = declared[0].accept_at or 0.0
     band = evidence_module.find_band(accept_at)
-    current = judge(parts, band, tuple(declared))
+    current = estimate(parts, band, tuple(declared))
     if current.upper < target:
         return [declared[-1]]
     return declared
--- a/src/carawayward/decisions/cold_starts.py
+++ b/src/carawayward/decisions/cold_starts.py
@@ -23,7 +23,7 @@
 MAX_HOLDERS = 3
 # Part of the bound that is dealt out. Entry VMs that are cut in two halves
 # each find holders of their own.
-DEALT_PART = 0.5
+ASSIGNED_PART = 0.5
 # Ranks that are kept: hashing them is most of what sharing permits costs.
 MAX_RANKS_KEPT = 4_096
 # No endpoint is taken to be cold for longer, whatever its entry says.
@@ -32,11 +32,11 @@
 
 def compute_permits(per_s: float, overshoot: float, slack: float) -> int:
     """How many requests a cold endpoint may get in any second, together."""
-    return int(DEALT_PART * (per_s * overshoot + slack))
+    return int(ASSIGNED_PART * (per_s * overshoot + slack))
 
 
 @functools.lru_cache(maxsize=MAX_RANKS_KEPT)
-def find_rank(endpoint: str, vm: str) -> int:
+def hash_rank(endpoint: str, vm: str) -> int:
     """The place of an entry VM among those that may hold permits."""
     return placement.hash_key(f"{endpoint}/{vm}")
 
@@ -45,7 +45,7 @@
     own: str, members: typing.Iterable[str], endpoint: str, permits: int
 ) -> int:
     """How many of an endpoint's permits ``own``, one of them or not, holds."""
-    ranked = sorted(members, key=lambda name: find_rank(endpoint, name))
+    ranked = sorted(members, key=lambda name: hash_rank(endpoint, name))
     holders = ranked[: min(MAX_HOLDERS, permits)]
     if own not in holders:
         return 0
@@ -95,7 +95,7 @@
     permit.expires_ms = now_ms + WINDOW_MS + TIMER_SLACK_MS
 
 
-def give_back(permits: Permits, permit: Permit) -> None:
+def release(permits: Permits, permit: Permit) -> None:
     """The request is over; a permit that it did not use is free at once."""
     if permit.expires_ms == float("inf"):
         permits.taken[permit.endpoint].remove(permit)
--- a/src/carawayward/decisions/engine_load.py
+++ b/src/carawayward/decisions/engine_load.py
@@ -48,7 +48,7 @@
 
 
 @attrs.define
-class CachedParts:
+class PrefixCache:
     """Parts of prompts that an engine is likely to have kept, oldest first."""
 
     tokens: int = 0
@@ -61,16 +61,16 @@
 class EngineLoads:
     """All that one entry VM knows of the engines' outstanding work.
 
-    ``of_peers`` is the sum of the reports in ``peers``, kept up to date with
-    each: with hundreds of peers, adding them up for each prompt would cost
-    more than all else that is done for it.
+    ``peer_totals`` is the sum of the reports in ``peers``, updated with each
+    report: with hundreds of peers, adding them up for every prompt would cost
+    more than the rest of the placement.
     """
 
     own: dict[str, Load] = attrs.field(factory=dict)
     peers: dict[str, PeerLoads] = attrs.field(factory=dict)
-    of_peers: dict[str, Load] = attrs.field(factory=dict)
+    peer_totals: dict[str, Load] = attrs.field(factory=dict)
     checked_ms: float = float("-inf")
-    cached: dict[str, CachedParts] = attrs.field(factory=dict)
+    cached: dict[str, PrefixCache] = attrs.field(factory=dict)
 
 
 @attrs.frozen(kw_only=True)
@@ -92,14 +92,14 @@
 
 # What the first text takes on an idle engine, and a weighted token more, in
 # ms; both until learned. Engines differ, so that these only have to be near.
-FIRST_BASE_MS = 120.0
-FIRST_TOKEN_COST_MS = 0.06
+INITIAL_BASE_MS = 120.0
+INITIAL_TOKEN_MS = 0.06
 # The base follows this quantile of what is seen, so that most prompts come in
 # the time predicted, in steps of these parts; the first of them are large, as
 # among hundreds of entry VMs each sees a prompt a second.
 BASE_QUANTILE = 0.7
-FIRST_BASE_STEP = 0.6
-LAST_BASE_STEP = 0.05
+INITIAL_BASE_STEP = 0.6
+MIN_BASE_STEP = 0.05
 MIN_BASE_MS = 10.0
 # The cost of a token follows the median of what is seen, in steps of this
 # part. Up to a third of first tokens come late for another reason, such as
@@ -115,8 +115,8 @@
 class LatencyModel:
     """How fast a service's engines come to the first text."""
 
-    base_ms: float = FIRST_BASE_MS
-    token_ms: float = FIRST_TOKEN_COST_MS
+    base_ms: float = INITIAL_BASE_MS
+    token_ms: float = INITIAL_TOKEN_MS
     short_seen: int = 0
 
 
@@ -125,7 +125,7 @@
     return model.base_ms + weight * model.token_ms
 
 
-def find_remote_weight(model: LatencyModel, target_ms: float) -> float:
+def compute_remote_penalty(model: LatencyModel, target_ms: float) -> float:
     """What an engine in another failure domain has to be better by."""
     return REMOTE_PART * target_ms / model.token_ms
 
@@ -135,7 +135,7 @@
     if weight < SHORT_BACKLOG:
         slower = took_ms - weight * model.token_ms > model.base_ms
         model.short_seen += 1
-        step = max(LAST_BASE_STEP, FIRST_BASE_STEP / model.short_seen**0.5)
+        step = max(MIN_BASE_STEP, INITIAL_BASE_STEP / model.short_seen**0.5)
         share = BASE_QUANTILE if slower else BASE_QUANTILE - 1.0
         factor = (1.0 + step) ** (2.0 * share)
         model.base_ms = max(MIN_BASE_MS, model.base_ms * factor)
@@ -166,7 +166,7 @@
     local: bool
 
 
-def add_own(loads: EngineLoads, engine: str, change: Load) -> None:
+def add_own_load(loads: EngineLoads, engine: str, change: Load) -> None:
     """Add to, or with negative figures take from, the own outstanding work."""
     known = loads.own.get(engine, Load())
     now = Load(
@@ -190,8 +190,8 @@
     _drop_report(loads, peer)
     loads.peers[peer] = PeerLoads(now_ms + ttl_ms, report)
     for engine, load in report.items():
-        known = loads.of_peers.get(engine, Load())
-        loads.of_peers[engine] = Load(
+        known = loads.peer_totals.get(engine, Load())
+        loads.peer_totals[engine] = Load(
             known.weight + load.weight, known.streams + load.streams
         )
 
@@ -201,12 +201,12 @@
     if dropped is None:
         return
     for engine, load in dropped.loads.items():
-        known = loads.of_peers[engine]
+        known = loads.peer_totals[engine]
         left = Load(known.weight - load.weight, known.streams - load.streams)
         if left.streams > 0 or left.weight >= 1.0:
-            loads.of_peers[engine] = left
+            loads.peer_totals[engine] = left
         else:
-            del loads.of_peers[engine]
+            del loads.peer_totals[engine]
 
 
 def expire_reports(loads: EngineLoads, now_ms: float) -> None:
@@ -221,7 +221,7 @@
 
 def get_load(loads: EngineLoads, engine: str) -> Load:
     """The outstanding work of everybody at an engine."""
-    own, peers = loads.own.get(engine), loads.of_peers.get(engine)
+    own, peers = loads.own.get(engine), loads.peer_totals.get(engine)
     if own is None or peers is None:
         return own or peers or Load()
     return Load(own.weight + peers.weight, own.streams + peers.streams)
@@ -243,7 +243,7 @@
     memory_tokens: int,
 ) -> None:
     """Note that an engine has read, or will read, these parts."""
-    kept = loads.cached.setdefault(engine, CachedParts())
+    kept = loads.cached.setdefault(engine, PrefixCache())
     for key, tokens in parts:
         if key in kept.parts:
             kept.tokens -= kept.parts.pop(key)
--- a/src/carawayward/decisions/escalation.py
+++ b/src/carawayward/decisions/escalation.py
@@ -16,13 +16,13 @@
 
 # Models rate an answer that is just good enough at about 50 of 100, with an
 # error of about 8. Two errors above, one accepted answer in fifty is poor.
-LEAST_CONFIDENCE = 62.0
+MIN_CONFIDENCE = 62.0
 # As engines fall behind, answers up to four errors under the mark are kept.
-SPREAD = 32.0
+BACKLOG_ALLOWANCE = 32.0
 # Where the larger model's answer would come late, answers are kept of which
 # less than three in four are poor: half an error under the even chance, 50. A
 # good answer is worth a third when it comes late, a poor one next to nothing.
-LATE_SPREAD = 17.0
+LATENESS_ALLOWANCE = 17.0
 # How far engines may be behind with reading prompts, as parts of the shortest
 # target among the routes that they serve: up to the first that is no reason
 # not to escalate, past the second nothing does. From the first on it is the
@@ -30,13 +30,13 @@
 # the second first texts of the shortest target are still in time. Replayed at
 # a third of the load that engines bear, under 0.03 of hard requests are held
 # back; with 0.55 for the second it is 0.02 to 0.08.
-CALM_BACKLOG = 0.2
+LOW_BACKLOG = 0.2
 HIGH_BACKLOG = 0.7
 # Parts of the route's target: a larger model's first text that comes before
 # the first is no reason not to escalate; after the second it would make a late
 # answer out of one that is in time.
-EARLY_HEAD = 0.3
-LATEST_HEAD = 0.9
+EARLY_TTFT = 0.3
+LATE_TTFT = 0.9
 # Up to this overload the largest model takes requests that could not escalate.
 # Past it half of the answers, given in time, are better than all given late.
 MAX_OVERLOAD_FOR_LARGEST = 0.5
@@ -61,8 +61,8 @@
     of the shortest target that they serve; ``head_part`` is when the largest
     model's first text would come, as a part of the route's target.
     """
-    behind = (backlog_part - CALM_BACKLOG) / (HIGH_BACKLOG - CALM_BACKLOG)
-    lateness = (head_part - EARLY_HEAD) / (LATEST_HEAD - EARLY_HEAD)
+    behind = (backlog_part - LOW_BACKLOG) / (HIGH_BACKLOG - LOW_BACKLOG)
+    lateness = (head_part - EARLY_TTFT) / (LATE_TTFT - EARLY_TTFT)
     return Overload(
         behind=min(1.0, max(0.0, behind)),
         lateness=min(1.0, max(0.0, lateness)),
@@ -85,7 +85,7 @@
     return models - 1
 
 
-def find_next(
+def choose_next(
     index: int,
     models: int,
     confidence: float | None,
@@ -105,7 +105,10 @@
         return None
     if overload.behind >= 1.0:
         return None
-    kept = SPREAD * overload.behind + LATE_SPREAD * overload.lateness
-    if confidence >= LEAST_CONFIDENCE - kept:
+    kept = (
+        BACKLOG_ALLOWANCE * overload.behind
+        + LATENESS_ALLOWANCE * overload.lateness
+    )
+    if confidence >= MIN_CONFIDENCE - kept:
         return None
     return models - 1
--- a/src/carawayward/decisions/evidence.py
+++ b/src/carawayward/decisions/evidence.py
@@ -144,7 +144,7 @@
     return min(BANDS - 1, max(0, int(confidence * BANDS)))
 
 
-def find_lower_bound(share: float, total: float, delta: float) -> float:
+def compute_lower_bound(share: float, total: float, delta: float) -> float:
     """A share that the true one undercuts with a chance of ``delta``.
 
     The Chernoff bound in its divergence form holds for every sample size
@@ -173,6 +173,6 @@
     return low
 
 
-def find_upper_bound(share: float, total: float, delta: float) -> float:
+def compute_upper_bound(share: float, total: float, delta: float) -> float:
     """A share that the true one exceeds with a chance of ``delta``."""
-    return 1.0 - find_lower_bound(1.0 - share, total, delta)
+    return 1.0 - compute_lower_bound(1.0 - share, total, delta)
--- a/src/carawayward/decisions/exposure.py
+++ b/src/carawayward/decisions/exposure.py
@@ -22,12 +22,12 @@
 
 # Chance, over a whole roll-out, that a version no worse than its baseline
 # is halted. Under the goal of 1%, with room for the baseline's own bound.
-FALSE_ALARM = 0.005
+FALSE_HALT_PROBABILITY = 0.005
 # Chance that the baseline's rate of bad answers exceeds the bound on it.
-BASELINE_DELTA = 0.05
+BASELINE_MISS_PROBABILITY = 0.05
 # The baseline's rate over a short window rests on few ratings; this many
 # at its rate over the whole roll-out are added to them.
-PRIOR = 60.0
+PRIOR_RATINGS = 60.0
 # How much worse the alternatives are, as a share of the way from the
 # baseline's rate of bad answers to all bad. The small ones find a slow
 # decline, the large ones a version that is broken altogether.
@@ -36,14 +36,14 @@
 # back only what was spent, it would starve on those; with this much for a
 # good rating it lives with a fifth of bad ones, and a version of which half
 # are bad still runs out of budget.
-EARNED_BY_GOOD = 1.25
+EARNED_PER_GOOD_RATING = 1.25
 # An early stage puts its share on few entry VMs of a domain, each of which
 # gives at most this part of its own traffic to the unproven version.
 HOLDER_SHARE = 0.5
 
 
 @attrs.frozen(slots=True)
-class Spent:
+class ExposureAccount:
     """One entry VM's account for one version: both numbers only grow."""
 
     spent: float = 0
@@ -55,25 +55,31 @@
         return self.spent - self.earned
 
 
-def spend(account: Spent, answers: int) -> Spent:
+def spend(account: ExposureAccount, answers: int) -> ExposureAccount:
     """Note answers given, or expected of a session that was opened."""
     return attrs.evolve(account, spent=account.spent + answers)
 
 
-def earn(account: Spent, answers: float = EARNED_BY_GOOD) -> Spent:
+def earn(
+    account: ExposureAccount, answers: float = EARNED_PER_GOOD_RATING
+) -> ExposureAccount:
     """Earn back for a good rating; never more than was spent."""
     earned = min(account.spent, account.earned + answers)
     return attrs.evolve(account, earned=earned)
 
 
-def merge_spent(one: Spent, other: Spent) -> Spent:
+def merge_accounts(
+    one: ExposureAccount, other: ExposureAccount
+) -> ExposureAccount:
     """Merge two copies of one account: idempotent and commutative."""
-    return Spent(max(one.spent, other.spent), max(one.earned, other.earned))
+    return ExposureAccount(
+        max(one.spent, other.spent), max(one.earned, other.earned)
+    )
 
 
-def find_room(
+def compute_remaining_budget(
     budget: int,
-    accounts: typing.Mapping[str, Spent],
+    accounts: typing.Mapping[str, ExposureAccount],
     own: str,
     holders: int = 1,
     position: int = 0,
@@ -88,7 +94,7 @@
     """
     part = budget // holders + (1 if position < budget % holders else 0)
     left = budget - sum(each.outstanding for each in accounts.values())
-    mine = accounts.get(own, Spent()).outstanding
+    mine = accounts.get(own, ExposureAccount()).outstanding
     return max(0.0, min(part - mine, left))
 
 
@@ -112,7 +118,7 @@
     return ranked[: max(1, min(len(ranked), count, budget))]
 
 
-def takes_canary(
+def is_assigned_to_canary(
     subject: str, version: str, share: float, members: int, holders: int
 ) -> bool:
     """Whether a session, or a request without one, is for the canary.
@@ -138,7 +144,9 @@
     baseline: dict[int, evidence_module.Count]
 
 
-def find_value(canary: evidence_module.Count, expected_bad: float) -> float:
+def compute_likelihood_ratio(
+    canary: evidence_module.Count, expected_bad: float
+) -> float:
     """How much likelier "worse" makes these counts than "no worse".
 
     A mean of likelihood ratios. While the true rate of bad answers is at
@@ -155,7 +163,9 @@
     return value
 
 
-def test_group(group: Group, tolerated: float, assumed_bad: float) -> float:
+def compute_group_evidence(
+    group: Group, tolerated: float, assumed_bad: float
+) -> float:
     """The evidence against a version within one group.
 
     One test for each epoch in which the version may have turned bad, with
@@ -164,7 +174,7 @@
     fault. The baseline is read over the same epochs: ratings that turn
     harsher for every version then halt none.
     """
-    prior = find_prior(group.baseline, assumed_bad)
+    prior = compute_prior(group.baseline, assumed_bad)
     value = 0.0
     canary, baseline = evidence_module.Count(), prior
     none = evidence_module.Count()
@@ -177,37 +187,46 @@
         # A window that begins without a bad rating says no more than the
         # next one that does; leaving it out costs no false alarm.
         if epoch in group.canary and group.canary[epoch].bad:
-            expected = find_expected_bad(baseline) + tolerated
-            value += find_value(canary, expected) / (start * (start + 1))
+            expected = compute_bad_bound(baseline) + tolerated
+            value += compute_likelihood_ratio(canary, expected) / (
+                start * (start + 1)
+            )
     return value
 
 
-def find_prior(
+def compute_prior(
     baseline: dict[int, evidence_module.Count], assumed_bad: float
 ) -> evidence_module.Count:
     """What is assumed of the baseline before a window's own ratings."""
     known = sum(baseline.values(), evidence_module.Count())
-    bad = (known.bad + assumed_bad * PRIOR) / (known.total + PRIOR)
-    return evidence_module.Count((1 - bad) * PRIOR, bad * PRIOR)
+    bad = (known.bad + assumed_bad * PRIOR_RATINGS) / (
+        known.total + PRIOR_RATINGS
+    )
+    return evidence_module.Count(
+        (1 - bad) * PRIOR_RATINGS, bad * PRIOR_RATINGS
+    )
 
 
-def find_expected_bad(baseline: evidence_module.Count) -> float:
+def compute_bad_bound(baseline: evidence_module.Count) -> float:
     """Upper bound of the baseline's rate of bad answers."""
-    return evidence_module.find_upper_bound(
-        baseline.bad / baseline.total, baseline.total, BASELINE_DELTA
+    return evidence_module.compute_upper_bound(
+        baseline.bad / baseline.total,
+        baseline.total,
+        BASELINE_MISS_PROBABILITY,
     )
 
 
-def test_version(
+def compute_version_evidence(
     groups: list[Group], tolerated: float, assumed_bad: float
 ) -> tuple[float, str]:
     """The evidence against a version, and the group that shows most.
 
-    Halt when it reaches ``1 / FALSE_ALARM``: by Ville's inequality a
-    version that is no worse gets there with a chance of at most
-    ``FALSE_ALARM``, however often and whenever one looks. Half of the
-    weight is on the first group (all traffic), the rest is shared; a mean
-    of such tests is one, so looking at many groups raises no alarms.
+    Halt when it reaches ``1 / FALSE_HALT_PROBABILITY``: by Ville's
+    inequality a version that is no worse gets there with at most that
+    probability, however often and whenever the test is evaluated. Half of
+    the weight is on the first group (all traffic), the rest is split evenly
+    among the others; a weighted mean of such tests is itself one, so testing
+    many groups does not raise the false-halt rate.
     """
     total, worst, most = 0.0, "", 0.0
     for index, group in enumerate(groups):
@@ -215,13 +234,13 @@
         weight = 1.0 if alone else 0.5
         if index:
             weight = 0.5 / (len(groups) - 1)
-        value = weight * test_group(group, tolerated, assumed_bad)
+        value = weight * compute_group_evidence(group, tolerated, assumed_bad)
         total += value
         if value > most:
             worst, most = group.name, value
     return total, worst
 
 
-def must_halt(value: float) -> bool:
+def is_halt_due(value: float) -> bool:
     """Whether the evidence against a version suffices."""
-    return value >= 1 / FALSE_ALARM
+    return value >= 1 / FALSE_HALT_PROBABILITY
--- a/src/carawayward/decisions/limits.py
+++ b/src/carawayward/decisions/limits.py
@@ -21,35 +21,35 @@
 # with one at least: a small batch for any engine. The limit doubles in each
 # good window until the first sign of overload. Entry VMs that all start into
 # saturation with two each would learn the strained latency as the best.
-FIRST_TOGETHER = 8.0
-LEAST = 1.0
-MOST = 512.0
+INITIAL_TOTAL = 8.0
+MIN_LIMIT = 1.0
+MAX_LIMIT = 512.0
 # A batch that is full runs slower for everyone in it. Half as slow again
 # still pays in throughput; beyond it latency grows faster than throughput.
 TOLERANCE = 1.5
 # Who has more than an equal part of an endpoint's load is less tolerant,
 # who has less is more so.
-PART_RANGE = (0.8, 1.25)
+TOLERANCE_RANGE = (0.8, 1.25)
 # A window needs this many answers, so that one odd answer decides nothing.
-WINDOW = 4
+WINDOW_ANSWERS = 4
 # One window never cuts more than this, so that one bad second (a pause of
 # the endpoint) does not throw away what took a minute to learn.
-DEEPEST_CUT = 0.7
+MIN_CUT_FACTOR = 0.7
 # Nor less than this: what makes entry VMs equal is that the larger limit
 # loses more at each cut.
-LEAST_CUT = 0.85
+MAX_CUT_FACTOR = 0.85
 # A limit that is not used teaches nothing and so must not rise.
 USED_SHARE = 0.7
 # At the least limit this entry VM's load cannot be the cause of the
 # latency: the endpoint has become slower, and the base follows.
-BASE_RISE = 1.1
+BASE_RISE_FACTOR = 1.1
 
 
 @attrs.define
 class Limit:
     """The learned limit of one endpoint, as one entry VM sees it."""
 
-    value: float = LEAST
+    value: float = MIN_LIMIT
     base_ms: float | None = None
     starting: bool = True
     window_sum: float = 0.0
@@ -68,11 +68,11 @@
     limit.window_sum += unit_ms
     limit.window_count += 1
     limit.window_peak = max(limit.window_peak, in_flight)
-    if limit.window_count >= WINDOW:
+    if limit.window_count >= WINDOW_ANSWERS:
         _close_window(limit)
 
 
-def record_part(
+def record_load_part(
     limit: Limit, in_flight: int, others: float, entry_vms: int
 ) -> None:
     """Note how this entry VM's part of the load compares to an equal one.
@@ -81,30 +81,30 @@
     prevented: who learned a slightly higher base pushes the others out, and
     the customers that the balancer sends to those are refused. ``others``
     comes from late reports and is only a hint: it moves the tolerance
-    within ``PART_RANGE`` and nothing else.
+    within ``TOLERANCE_RANGE`` and nothing else.
     """
     total = in_flight + others
     if total > 0.0 and in_flight:
         equal = total / max(1, entry_vms)
-        low, high = PART_RANGE
+        low, high = TOLERANCE_RANGE
         limit.part = min(high, max(low, equal / in_flight))
 
 
 def record_overload(limit: Limit) -> None:
     """Learn from a refusal by the endpoint or from its silence."""
     limit.starting = False
-    limit.value = max(LEAST, limit.value * DEEPEST_CUT)
+    limit.value = max(MIN_LIMIT, limit.value * MIN_CUT_FACTOR)
     _clear_window(limit)
 
 
-def find_first(entry_vms: int) -> float:
+def compute_initial_limit(entry_vms: int) -> float:
     """What each of so many entry VMs begins with on an endpoint."""
-    return max(LEAST, FIRST_TOGETHER / max(1, entry_vms))
+    return max(MIN_LIMIT, INITIAL_TOTAL / max(1, entry_vms))
 
 
 def restart(limit: Limit, entry_vms: int) -> None:
     """Begin anew: the endpoint has come back with cold caches."""
-    limit.value = find_first(entry_vms)
+    limit.value = compute_initial_limit(entry_vms)
     limit.starting = True
     _clear_window(limit)
 
@@ -117,14 +117,14 @@
     most = TOLERANCE * limit.part * limit.base_ms
     if mean > most:
         limit.starting = False
-        if limit.value <= LEAST:
-            limit.base_ms = min(mean, limit.base_ms * BASE_RISE)
+        if limit.value <= MIN_LIMIT:
+            limit.base_ms = min(mean, limit.base_ms * BASE_RISE_FACTOR)
         cut = most / mean
-        cut = min(LEAST_CUT, max(DEEPEST_CUT, cut))
-        limit.value = max(LEAST, limit.value * cut)
+        cut = min(MAX_CUT_FACTOR, max(MIN_CUT_FACTOR, cut))
+        limit.value = max(MIN_LIMIT, limit.value * cut)
     elif used:
         step = limit.value if limit.starting else 1.0
-        limit.value = min(MOST, limit.value + step)
+        limit.value = min(MAX_LIMIT, limit.value + step)
     _clear_window(limit)
 
 
--- a/src/carawayward/decisions/orders.py
+++ b/src/carawayward/decisions/orders.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Seen:
+class EndpointStatus:
     """What is known of an endpoint; ``silent`` if it does not report."""
 
     name: str
@@ -47,7 +47,7 @@
     return Order(fencing=revision, versions=tuple(wanted), role=pool.role)
 
 
-def find_limit(pool: rollout_declaration.Pool, members: int) -> int:
+def compute_change_limit(pool: rollout_declaration.Pool, members: int) -> int:
     """How many endpoints of a pool may be out of service for a change."""
     return max(1, int(pool.change_at_once * members))
 
@@ -55,7 +55,7 @@
 def choose_changing(
     pool: rollout_declaration.Pool,
     order: Order,
-    members: typing.Sequence[Seen],
+    members: typing.Sequence[EndpointStatus],
     loads_left: int,
 ) -> tuple[list[str], list[str]]:
     """Endpoints that may be changing now, and silent ones in the way.
@@ -66,24 +66,26 @@
     change now stay in the set until their reports show them done.
     """
     silent = sorted(each.name for each in members if each.silent)
-    room = min(find_limit(pool, len(members)) - len(silent), loads_left)
+    room = min(
+        compute_change_limit(pool, len(members)) - len(silent), loads_left
+    )
     behind = [
         each.name
         for each in members
         if not each.silent and each.versions != frozenset(order.versions)
     ]
-    behind.sort(key=lambda name: _weigh(name, pool.name))
+    behind.sort(key=lambda name: _hash_rank(name, pool.name))
     held_by = silent if behind and room <= 0 and silent else []
     return behind[: max(0, room)], held_by
 
 
-def choose_orderer(endpoint: str, names: typing.Iterable[str]) -> str:
+def choose_sender(endpoint: str, names: typing.Iterable[str]) -> str:
     """The entry VM that orders an endpoint, by rendezvous.
 
     Two that differ on who is alive may both order it. That is safe: both
     send the same state under the same number.
     """
-    return max(names, key=lambda name: _weigh(name, endpoint), default="")
+    return max(names, key=lambda name: _hash_rank(name, endpoint), default="")
 
 
 def is_due(order: Order, current: Order | None, may_change: bool) -> bool:
@@ -104,6 +106,6 @@
     return may_change or current.versions == order.versions
 
 
-def _weigh(name: str, subject: str) -> int:
+def _hash_rank(name: str, subject: str) -> int:
     digest = hashlib.blake2b(f"{subject}\0{name}".encode(), digest_size=8)
     return int.from_bytes(digest.digest())
--- a/src/carawayward/decisions/placement.py
+++ b/src/carawayward/decisions/placement.py
@@ -30,7 +30,7 @@
 # differ by an eighth, with one by several times.
 RING_POINTS = 64
 # Endpoints whose points are kept: twice the most that is aimed at.
-MOST_POINTS_KEPT = 2_048
+MAX_POINTS_CACHED = 2_048
 # Reports are smoothed: what lasts (an endpoint that others use more) shows,
 # what swings from one report to the next does not.
 REPORT_GAIN = 0.03
@@ -42,13 +42,13 @@
 
 
 @attrs.define(eq=False, kw_only=True)
-class View:
+class EndpointView:
     """What one entry VM knows of one endpoint."""
 
     name: str
     failure_domain: str
     in_flight: int = 0
-    others: float = 0.0
+    other_load: float = 0.0
     limit: limits.Limit = attrs.field(factory=limits.Limit)
     health: health_module.Health = attrs.field(factory=health_module.Health)
 
@@ -62,20 +62,20 @@
     ``mean`` is refreshed every few decisions rather than in each.
     """
 
-    views: list[View]
-    by_domain: dict[str, list[View]]
-    elsewhere: dict[str, list[View]]
-    ring: list[tuple[int, View]]
+    views: list[EndpointView]
+    by_domain: dict[str, list[EndpointView]]
+    elsewhere: dict[str, list[EndpointView]]
+    ring: list[tuple[int, EndpointView]]
     points: list[int]
     mean: float = 0.0
     pool_ms: float | None = None
     decisions: int = 0
 
     @classmethod
-    def from_views(cls, views: typing.Iterable[View]) -> "Candidates":
+    def from_views(cls, views: typing.Iterable[EndpointView]) -> "Candidates":
         """Index the endpoints that can serve."""
         known = sorted(views, key=lambda view: view.name)
-        by_domain: dict[str, list[View]] = {}
+        by_domain: dict[str, list[EndpointView]] = {}
         for view in known:
             by_domain.setdefault(view.failure_domain, []).append(view)
         elsewhere = {
@@ -100,7 +100,7 @@
     return int.from_bytes(digest, "big")
 
 
-@functools.lru_cache(maxsize=MOST_POINTS_KEPT)
+@functools.lru_cache(maxsize=MAX_POINTS_CACHED)
 def find_points(name: str) -> tuple[int, ...]:
     """An endpoint's places on the ring; hashing them is most of its cost.
 
@@ -110,13 +110,13 @@
     return tuple(hash_key(f"{name}#{point}") for point in range(RING_POINTS))
 
 
-def record_report(view: View, load: float) -> None:
+def record_report(view: EndpointView, load: float) -> None:
     """Take an endpoint's report of its whole load."""
     others = max(0.0, load - view.in_flight)
-    view.others += REPORT_GAIN * (others - view.others)
+    view.other_load += REPORT_GAIN * (others - view.other_load)
 
 
-def score(view: View, pool_ms: float | None) -> float:
+def compute_cost(view: EndpointView, pool_ms: float | None) -> float:
     """How long a request would take there, up to a common factor.
 
     Load: one slow endpoint, or one that fails fast, among healthy ones.
@@ -130,11 +130,13 @@
     return (1.0 + view.in_flight) * slowness * failing
 
 
-def is_open(view: View, now_ms: float, excluded: frozenset[str]) -> bool:
+def is_available(
+    view: EndpointView, now_ms: float, excluded: frozenset[str]
+) -> bool:
     """Whether the endpoint takes one more request just now."""
     return (
         limits.has_room(view.limit, view.in_flight)
-        and health_module.may_take(view.health, now_ms, view.in_flight)
+        and health_module.accepts_request(view.health, now_ms, view.in_flight)
         and view.name not in excluded
     )
 
@@ -146,7 +148,7 @@
     now_ms: float,
     draw: Draw,
     excluded: frozenset[str] = frozenset(),
-) -> View | None:
+) -> EndpointView | None:
     """Choose an endpoint with room, or None.
 
     First the prefix's own endpoints on the ring, within the load bound:
@@ -156,20 +158,20 @@
     """
     if not candidates.views:
         return None
-    refresh(candidates)
+    refresh_means(candidates)
     probe = _find_probe(candidates, now_ms, excluded)
     if probe is not None:
         return probe
     if key is not None:
-        home = find_home(candidates, key, now_ms, excluded)
+        home = find_affine_endpoint(candidates, key, now_ms, excluded)
         if home is not None:
             return home
     return choose_of_two(candidates, failure_domain, now_ms, draw, excluded)
 
 
-def find_home(
+def find_affine_endpoint(
     candidates: Candidates, key: int, now_ms: float, excluded: frozenset[str]
-) -> View | None:
+) -> EndpointView | None:
     """The first endpoint on the ring with room under the load bound.
 
     Load: skewed demand, in which one prefix is asked for far more often
@@ -179,9 +181,9 @@
     most = LOAD_BOUND * (candidates.mean + 1.0)
     for view in walk_ring(candidates, key, RING_WALK):
         if (
-            is_open(view, now_ms, excluded)
-            and view.in_flight + view.others + 1.0 <= most
-            and not _is_strained(view, candidates.pool_ms)
+            is_available(view, now_ms, excluded)
+            and view.in_flight + view.other_load + 1.0 <= most
+            and not _is_degraded(view, candidates.pool_ms)
         ):
             return view
     return None
@@ -189,7 +191,7 @@
 
 def walk_ring(
     candidates: Candidates, key: int, most: int
-) -> typing.Iterator[View]:
+) -> typing.Iterator[EndpointView]:
     """Distinct endpoints in the ring's order from a key."""
     seen: set[str] = set()
     start = bisect.bisect(candidates.points, key)
@@ -208,7 +210,7 @@
     now_ms: float,
     draw: Draw,
     excluded: frozenset[str],
-) -> View | None:
+) -> EndpointView | None:
     """The better of two local endpoints, or of two others if that pays.
 
     Two choices rather than the least loaded of all: entry VMs that decide
@@ -225,12 +227,12 @@
 
 
 def _draw_best(
-    views: list[View],
+    views: list[EndpointView],
     candidates: Candidates,
     now_ms: float,
     draw: Draw,
     excluded: frozenset[str],
-) -> tuple[float, View] | None:
+) -> tuple[float, EndpointView] | None:
     """The better of one in rotation and one drawn.
 
     The rotation spreads work evenly while nothing is wrong; all are looked
@@ -240,19 +242,21 @@
         return None
     first = views[candidates.decisions % len(views)]
     second = views[draw(len(views))]
-    best: tuple[float, View] | None = None
+    best: tuple[float, EndpointView] | None = None
     for view in (first, second):
-        if is_open(view, now_ms, excluded):
-            cost = score(view, candidates.pool_ms)
+        if is_available(view, now_ms, excluded):
+            cost = compute_cost(view, candidates.pool_ms)
             if best is None or cost < best[0]:
                 best = (cost, view)
     if best is not None:
         return best
-    have_room = [view for view in views if is_open(view, now_ms, excluded)]
+    have_room = [
+        view for view in views if is_available(view, now_ms, excluded)
+    ]
     if not have_room:
         return None
     view = have_room[draw(len(have_room))]
-    return score(view, candidates.pool_ms), view
+    return compute_cost(view, candidates.pool_ms), view
 
 
 # Every how many decisions the means are taken anew. Over 100 endpoints it
@@ -260,13 +264,13 @@
 REFRESH_EVERY = 16
 
 
-def refresh(candidates: Candidates) -> None:
+def refresh_means(candidates: Candidates) -> None:
     """Take the means anew every few decisions."""
     if candidates.decisions % REFRESH_EVERY == 0:
         views = candidates.views
-        total = sum(view.in_flight + view.others for view in views)
+        total = sum(view.in_flight + view.other_load for view in views)
         candidates.mean = total / len(views)
-        candidates.pool_ms = health_module.find_pool_speed(
+        candidates.pool_ms = health_module.compute_pool_unit_ms(
             view.health for view in views
         )
     candidates.decisions += 1
@@ -274,7 +278,7 @@
 
 def _find_probe(
     candidates: Candidates, now_ms: float, excluded: frozenset[str]
-) -> View | None:
+) -> EndpointView | None:
     """An ejected endpoint whose time is up gets the next request.
 
     Its score would keep it from ever being chosen.
@@ -282,14 +286,15 @@
     if candidates.decisions % REFRESH_EVERY != 1:
         return None
     for view in candidates.views:
-        if view.health.state is not health_module.State.IN and is_open(
-            view, now_ms, excluded
+        if (
+            view.health.state is not health_module.State.ACTIVE
+            and is_available(view, now_ms, excluded)
         ):
             return view
     return None
 
 
-def _is_strained(view: View, pool_ms: float | None) -> bool:
+def _is_degraded(view: EndpointView, pool_ms: float | None) -> bool:
     """Whether affinity should not hold work at this endpoint."""
     health = view.health
     if health.success < 0.8:
--- a/src/carawayward/decisions/quarantine.py
+++ b/src/carawayward/decisions/quarantine.py
@@ -17,17 +17,17 @@
 # How long an endpoint is passed over, doubled with each try in a row up to
 # the longest. Short after a connection that failed, since a lost packet looks
 # the same, and shorter after it declined, as one that is full soon has room.
-UNREACHED_MS = 300.0
+UNREACHABLE_MS = 300.0
 DECLINED_MS = 50.0
-LONGEST_MS = 3_000.0
+MAX_PAUSE_MS = 3_000.0
 # While one request tries an endpoint the others pass it over for this long:
 # the time that a connection may take, or a refusal.
-REACHING_MS = 500.0
-DECLINING_MS = 50.0
+CONNECT_TRY_MS = 500.0
+DECLINED_TRY_MS = 50.0
 
 
 @attrs.define
-class Avoided:
+class QuarantinedEndpoint:
     """Until when an endpoint is passed over, after so many tries in a row.
 
     ``try_ms`` is how long one request's try keeps the others away.
@@ -42,12 +42,14 @@
 class Quarantine:
     """Endpoints that would not take work from one entry VM, by name."""
 
-    endpoints: dict[str, Avoided] = attrs.field(factory=dict)
+    endpoints: dict[str, QuarantinedEndpoint] = attrs.field(factory=dict)
 
 
-def record_unreached(quarantine: Quarantine, name: str, now_ms: float) -> None:
+def record_unreachable(
+    quarantine: Quarantine, name: str, now_ms: float
+) -> None:
     """No connection came about."""
-    _quarantine(quarantine, name, now_ms, UNREACHED_MS, REACHING_MS)
+    _quarantine(quarantine, name, now_ms, UNREACHABLE_MS, CONNECT_TRY_MS)
 
 
 def record_domain_silent(
@@ -61,13 +63,15 @@
     """
     for name in names:
         if name not in quarantine.endpoints:
-            until_ms = now_ms + UNREACHED_MS
-            quarantine.endpoints[name] = Avoided(until_ms, 0, REACHING_MS)
+            until_ms = now_ms + UNREACHABLE_MS
+            quarantine.endpoints[name] = QuarantinedEndpoint(
+                until_ms, 0, CONNECT_TRY_MS
+            )
 
 
 def record_declined(quarantine: Quarantine, name: str, now_ms: float) -> None:
     """The endpoint says that it did not run a request."""
-    _quarantine(quarantine, name, now_ms, DECLINED_MS, DECLINING_MS)
+    _quarantine(quarantine, name, now_ms, DECLINED_MS, DECLINED_TRY_MS)
 
 
 def _quarantine(
@@ -79,11 +83,13 @@
 ) -> None:
     known = quarantine.endpoints.get(name)
     tries = known.tries if known else 0
-    pause_ms = min(LONGEST_MS, first_ms * 2.0**tries)
-    quarantine.endpoints[name] = Avoided(now_ms + pause_ms, tries + 1, try_ms)
+    pause_ms = min(MAX_PAUSE_MS, first_ms * 2.0**tries)
+    quarantine.endpoints[name] = QuarantinedEndpoint(
+        now_ms + pause_ms, tries + 1, try_ms
+    )
 
 
-def record_taken(quarantine: Quarantine, name: str) -> None:
+def record_accepted(quarantine: Quarantine, name: str) -> None:
     """The endpoint took a request, or is another one now."""
     quarantine.endpoints.pop(name, None)
 
--- a/src/carawayward/decisions/queueing.py
+++ b/src/carawayward/decisions/queueing.py
@@ -20,14 +20,14 @@
 # Arrivals of one that keeps within its share still come in clumps; without
 # it the second of a clump waits a whole turn, which is seconds for a small
 # weight. What it takes ahead it pays back with its next turns.
-CREDIT = 6.0
+IDLE_CREDIT = 6.0
 # An idle customer's tag is kept until the queue's own time has passed it;
 # this bounds how many are kept for customers that do not come back.
-MOST_IDLE_FLOWS = 1_024
+MAX_IDLE_FLOWS = 1_024
 
 
 @attrs.define(eq=False, kw_only=True)
-class Item:
+class WaitingRequest:
     """A waiting request.
 
     ``work`` is the expected time on a slot in ms. ``latest_start_ms`` is
@@ -52,7 +52,9 @@
     tag: float = 0.0
     work: float = 0.0
     count: int = 0
-    heap: list[tuple[int, float, int, Item]] = attrs.field(factory=list)
+    heap: list[tuple[int, float, int, WaitingRequest]] = attrs.field(
+        factory=list
+    )
 
 
 @attrs.define
@@ -65,7 +67,7 @@
     pushed: int = 0
 
 
-def push(queue: FairQueue, item: Item) -> None:
+def push(queue: FairQueue, item: WaitingRequest) -> None:
     """Add a request.
 
     A customer that was idle starts at the queue's own time, but for a small
@@ -74,8 +76,8 @@
     """
     flow = queue.flows.get(item.customer)
     if flow is None:
-        if len(queue.flows) >= MOST_IDLE_FLOWS:
-            forget_idle(queue)
+        if len(queue.flows) >= MAX_IDLE_FLOWS:
+            drop_idle_flows(queue)
         flow = queue.flows[item.customer] = Flow(item.weight)
     if not flow.count:
         flow.tag = find_tag(queue, item)
@@ -91,16 +93,16 @@
     item.waiting = True
 
 
-def find_tag(queue: FairQueue, item: Item) -> float:
+def find_tag(queue: FairQueue, item: WaitingRequest) -> float:
     """The virtual time at which the item's customer is served next."""
     flow = queue.flows.get(item.customer)
     if flow is not None and flow.count:
         return flow.tag
-    least = queue.virtual - CREDIT * item.work / item.weight
+    least = queue.virtual - IDLE_CREDIT * item.work / item.weight
     return least if flow is None else max(flow.tag, least)
 
 
-def remove(queue: FairQueue, item: Item) -> None:
+def remove(queue: FairQueue, item: WaitingRequest) -> None:
     """Take a request out of turn: its caller left or its time ran out.
 
     Its place is free at once, for the bounds too; the customer is not
@@ -115,7 +117,7 @@
     queue.count -= 1
 
 
-def list_heads(queue: FairQueue) -> list[Item]:
+def list_heads(queue: FairQueue) -> list[WaitingRequest]:
     """The next request of each customer, in the order of their turns."""
     heads = []
     for flow in queue.flows.values():
@@ -125,7 +127,7 @@
     return [head[2] for head in heads]
 
 
-def take(queue: FairQueue, item: Item) -> None:
+def take(queue: FairQueue, item: WaitingRequest) -> None:
     """Start a request: charge its customer and move the queue's time on."""
     flow = queue.flows[item.customer]
     remove(queue, item)
@@ -133,7 +135,7 @@
     flow.tag += item.work / flow.weight
 
 
-def forget_idle(queue: FairQueue) -> None:
+def drop_idle_flows(queue: FairQueue) -> None:
     """Drop customers that wait for nothing and are owed or owe nothing."""
     idle = [
         name
@@ -144,7 +146,7 @@
         del queue.flows[name]
 
 
-def _find_head(flow: Flow) -> Item:
+def _find_head(flow: Flow) -> WaitingRequest:
     while not flow.heap[0][3].waiting:
         heapq.heappop(flow.heap)
     return flow.heap[0][3]
--- a/src/carawayward/decisions/retry.py
+++ b/src/carawayward/decisions/retry.py
@@ -15,13 +15,13 @@
 HEDGE_SHARE = 0.05
 # Saved up at most, so that a long good time does not pay for a storm, and
 # given at the start and back over time, so that an idle system may retry.
-MOST_SAVED = 20.0
-LEAST_PER_MS = 1.0 / 1_000.0
+MAX_TOKENS = 20.0
+REFILL_PER_MS = 1.0 / 1_000.0
 # A second run is worth its slot only when the first is slower than nearly
 # all others; before anything is learned nothing is hedged.
 HEDGE_FACTOR = 3.0
-HEDGE_LEAST_MS = 50.0
-GAIN = 0.1
+MIN_HEDGE_DELAY_MS = 50.0
+EWMA_GAIN = 0.1
 
 
 @attrs.define
@@ -29,12 +29,12 @@
     """Tokens that successes earn and second runs spend."""
 
     share: float = RETRY_SHARE
-    saved: float = MOST_SAVED / 2
-    fed_ms: float = 0.0
+    tokens: float = MAX_TOKENS / 2
+    refilled_ms: float = 0.0
 
 
 @attrs.define
-class FirstText:
+class TtftEstimate:
     """Learned time to the first text: a slow mean of the upper part."""
 
     high_ms: float | None = None
@@ -42,17 +42,17 @@
 
 def record_success(budget: Budget) -> None:
     """Earn a share of a second run."""
-    budget.saved = min(MOST_SAVED, budget.saved + budget.share)
+    budget.tokens = min(MAX_TOKENS, budget.tokens + budget.share)
 
 
 def spend(budget: Budget, now_ms: float) -> bool:
     """Take one second run out of the budget if it allows one."""
-    elapsed = max(0.0, now_ms - budget.fed_ms)
-    budget.fed_ms = now_ms
-    budget.saved = min(MOST_SAVED, budget.saved + elapsed * LEAST_PER_MS)
-    if budget.saved < 1.0:
+    elapsed = max(0.0, now_ms - budget.refilled_ms)
+    budget.refilled_ms = now_ms
+    budget.tokens = min(MAX_TOKENS, budget.tokens + elapsed * REFILL_PER_MS)
+    if budget.tokens < 1.0:
         return False
-    budget.saved -= 1.0
+    budget.tokens -= 1.0
     return True
 
 
@@ -65,16 +65,16 @@
     return not reached_caller and (repeatable or not sent)
 
 
-def record_first_text(times: FirstText, took_ms: float) -> None:
+def record_ttft(times: TtftEstimate, took_ms: float) -> None:
     """Learn the time to the first text; rises fast, falls slowly."""
     if times.high_ms is None:
         times.high_ms = took_ms
         return
-    gain = GAIN if took_ms > times.high_ms else GAIN / 10
+    gain = EWMA_GAIN if took_ms > times.high_ms else EWMA_GAIN / 10
     times.high_ms += gain * (took_ms - times.high_ms)
 
 
-def find_hedge_delay(times: FirstText) -> float | None:
+def compute_hedge_delay(times: TtftEstimate) -> float | None:
     """After how long without text a second run is worth it, in ms.
 
     Load: one hung or very slow endpoint among healthy ones. Harm
@@ -82,4 +82,4 @@
     """
     if times.high_ms is None:
         return None
-    return max(HEDGE_LEAST_MS, HEDGE_FACTOR * times.high_ms)
+    return max(MIN_HEDGE_DELAY_MS, HEDGE_FACTOR * times.high_ms)
--- a/src/carawayward/decisions/session.py
+++ b/src/carawayward/decisions/session.py
@@ -6,7 +6,7 @@
 from carawayward.protocol import freshness
 
 
-def find_lost_pin(
+def find_unavailable_pin(
     task: declaration.Task,
     models: typing.Mapping[str, declaration.Model],
     pins: typing.Mapping[str, str],
@@ -32,7 +32,7 @@
     return None
 
 
-def find_frozen(
+def find_unstartable_version(
     wanted: typing.Iterable[str],
     pins: typing.Mapping[str, str],
     versions: typing.Mapping[str, declaration.Version],
@@ -40,7 +40,7 @@
 ) -> str | None:
     """The first version of a plan that may not start work here just now.
 
-    What the session is settled on has been judged by ``find_lost_pin``.
+    What the session is settled on has been judged by ``find_unavailable_pin``.
     Checked for each request on a node that is cut off: its operators said
     that no answer is better there than one of this version.
     """
--- a/src/carawayward/decisions/store_polls.py
+++ b/src/carawayward/decisions/store_polls.py
@@ -10,7 +10,7 @@
 """
 
 # A poll ends after this at the latest even if nothing came.
-POLL_MS = 1_500.0
+MAX_POLL_MS = 1_500.0
 # Polls that fit into a lease: what a poll shows is as old as the poll when it
 # comes and has to last until the next one ends, and one may fail.
 POLLS_PER_LEASE = 3.0
@@ -34,15 +34,15 @@
 OVERDUE_MS = QUERY_MS + REPORT_SLACK_MS
 # Part of the lease on keys from which on an entry VM reads the store itself
 # though it has a delegate: time for an answer of a slow store.
-OWN_PART = 0.8
+OWN_READ_PART = 0.8
 
 
-def find_poll(lease_ms: float) -> float:
+def compute_poll_ms(lease_ms: float) -> float:
     """How long a poll may wait, so that its proof keeps a lease alive."""
-    return max(MIN_POLL_MS, min(POLL_MS, lease_ms / POLLS_PER_LEASE))
+    return max(MIN_POLL_MS, min(MAX_POLL_MS, lease_ms / POLLS_PER_LEASE))
 
 
-def find_table_poll(lease_ms: float, apply_ms: float) -> float:
+def compute_table_poll_ms(lease_ms: float, apply_ms: float) -> float:
     """How long a poll on the routing table may wait.
 
     ``lease_ms`` is how long keys last without a proof, ``apply_ms`` within
@@ -50,12 +50,16 @@
     longer than this finds its reports too old for the lease now and then, and
     turns callers away if it cannot read the store itself.
     """
-    for_reports_ms = (OWN_PART * lease_ms - QUERY_MS - REPORT_SLACK_MS) / 2.0
-    wanted_ms = min(APPLY_PART * apply_ms, find_poll(lease_ms), for_reports_ms)
+    for_reports_ms = (
+        OWN_READ_PART * lease_ms - QUERY_MS - REPORT_SLACK_MS
+    ) / 2.0
+    wanted_ms = min(
+        APPLY_PART * apply_ms, compute_poll_ms(lease_ms), for_reports_ms
+    )
     return max(MIN_POLL_MS, wanted_ms)
 
 
-def find_registry_poll(drain_ms: float, longest_gap_ms: float) -> float:
+def compute_registry_poll_ms(drain_ms: float, longest_gap_ms: float) -> float:
     """How long a poll on the endpoints may wait.
 
     ``drain_ms`` is how long an endpoint that leaves still takes work. An
@@ -81,5 +85,5 @@
 
 def compute_max_table_age(lease_ms: float, apply_ms: float) -> float:
     """How old a delegate's report on the routing table may be."""
-    poll_ms = find_table_poll(lease_ms, apply_ms)
-    return min(OWN_PART * lease_ms, compute_max_report_age(poll_ms))
+    poll_ms = compute_table_poll_ms(lease_ms, apply_ms)
+    return min(OWN_READ_PART * lease_ms, compute_max_report_age(poll_ms))
--- a/src/carawayward/decisions/suspicion.py
+++ b/src/carawayward/decisions/suspicion.py
@@ -28,7 +28,7 @@
 CONVICTING_CRASHES = 2
 # Long enough to outlast a caller's resends, short enough that a convicted
 # request gets a new trial after the engine may have been repaired.
-FACT_LIFE_MS = 600_000
+RECORD_TTL_MS = 600_000
 # Several entry VMs notice the same crash within this time. An endpoint
 # that loads its weights anew is not back sooner.
 SAME_CRASH_MS = 3_000
@@ -38,7 +38,7 @@
 SETTLE_MS = 250
 TURN_MS = 1_000
 # Bound of the book: a crash makes at most a batch of suspects, some tens.
-MOST_FACTS = 5_000
+MAX_SUSPECTS = 5_000
 
 
 @attrs.frozen(order=True)
@@ -56,7 +56,7 @@
 
 
 @attrs.define
-class SuspectBook:
+class SuspectRecords:
     """What one entry VM knows of suspects, its own and its peers' facts."""
 
     crashes: dict[str, list[Crash]] = attrs.field(factory=dict)
@@ -87,12 +87,12 @@
     return hashlib.sha256(request_key.encode()).hexdigest()[:12]
 
 
-def record_crash(book: SuspectBook, crash: Crash) -> bool:
+def record_crash(book: SuspectRecords, crash: Crash) -> bool:
     """Add a crash; return False if it tells nothing new."""
     known = book.crashes.setdefault(crash.fingerprint, [])
     if crash in known:
         return False
-    if len(book.crashes) > MOST_FACTS:
+    if len(book.crashes) > MAX_SUSPECTS:
         oldest = next(iter(book.crashes))
         del book.crashes[oldest]
         book.cleared.pop(oldest, None)
@@ -101,7 +101,9 @@
     return True
 
 
-def record_answer(book: SuspectBook, fingerprint: str, wall_ms: int) -> bool:
+def record_answer(
+    book: SuspectRecords, fingerprint: str, wall_ms: int
+) -> bool:
     """Clear a suspect that was answered; return False if it was none."""
     if fingerprint not in book.crashes:
         return False
@@ -112,8 +114,8 @@
     return True
 
 
-def list_crashes(
-    book: SuspectBook, fingerprint: str, wall_ms: int
+def list_distinct_crashes(
+    book: SuspectRecords, fingerprint: str, wall_ms: int
 ) -> list[Crash]:
     """Distinct crashes that still count against a request."""
     known = book.crashes.get(fingerprint)
@@ -122,7 +124,7 @@
     cleared_ms = book.cleared.get(fingerprint, -1)
     distinct: list[Crash] = []
     for crash in sorted(known, key=lambda c: (c.seen_ms, c)):
-        if crash.seen_ms <= max(cleared_ms, wall_ms - FACT_LIFE_MS):
+        if crash.seen_ms <= max(cleared_ms, wall_ms - RECORD_TTL_MS):
             continue
         same = any(
             other.endpoint == crash.endpoint
@@ -134,25 +136,25 @@
     return distinct
 
 
-def is_convicted(book: SuspectBook, fingerprint: str, wall_ms: int) -> bool:
+def is_convicted(book: SuspectRecords, fingerprint: str, wall_ms: int) -> bool:
     """Whether the request is refused without a run."""
-    crashes = list_crashes(book, fingerprint, wall_ms)
+    crashes = list_distinct_crashes(book, fingerprint, wall_ms)
     return len(crashes) >= CONVICTING_CRASHES
 
 
-def is_suspect(book: SuspectBook, fingerprint: str, wall_ms: int) -> bool:
+def is_suspect(book: SuspectRecords, fingerprint: str, wall_ms: int) -> bool:
     """Whether a crash counts against the request."""
-    return bool(list_crashes(book, fingerprint, wall_ms))
+    return bool(list_distinct_crashes(book, fingerprint, wall_ms))
 
 
-def may_have_run(book: SuspectBook, fingerprint: str, request: str) -> bool:
+def may_have_run(book: SuspectRecords, fingerprint: str, request: str) -> bool:
     """Whether a request of this key was in flight at a crash."""
     known = book.crashes.get(fingerprint, [])
     return any(crash.request == request for crash in known)
 
 
 def plan_trials(
-    book: SuspectBook,
+    book: SuspectRecords,
     walk: typing.Callable[[str], typing.Iterable[str]],
     wall_ms: int,
 ) -> dict[str, Trial]:
@@ -164,7 +166,7 @@
     """
     suspects = []
     for fingerprint in book.crashes:
-        crashes = list_crashes(book, fingerprint, wall_ms)
+        crashes = list_distinct_crashes(book, fingerprint, wall_ms)
         if 0 < len(crashes) < CONVICTING_CRASHES:
             suspects.append((crashes[0].seen_ms, fingerprint, crashes[0]))
     suspects.sort(key=lambda suspect: suspect[:2])
@@ -186,9 +188,9 @@
     return plan
 
 
-def forget(book: SuspectBook, wall_ms: int) -> None:
+def drop_expired(book: SuspectRecords, wall_ms: int) -> None:
     """Drop facts that have expired."""
-    oldest = wall_ms - FACT_LIFE_MS
+    oldest = wall_ms - RECORD_TTL_MS
     for fingerprint, known in list(book.crashes.items()):
         if all(crash.seen_ms < oldest for crash in known):
             del book.crashes[fingerprint]
--- a/src/carawayward/decisions/turns.py
+++ b/src/carawayward/decisions/turns.py
@@ -17,8 +17,8 @@
 # long again for the writes.
 TURNS_LEFT = 16.0
 # Pauses after failed writes double up to the longest.
-FIRST_BACKOFF_MS = 800.0
-LONGEST_BACKOFF_MS = 6_400.0
+INITIAL_BACKOFF_MS = 800.0
+MAX_BACKOFF_MS = 6_400.0
 
 
 def compute_turn_ms(
@@ -48,6 +48,6 @@
 
 def compute_backoff_ms(failures: int, own: str) -> float:
     """The pause after so many failed writes in a row, in ms."""
-    pause_ms = min(LONGEST_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** (failures - 1))
+    pause_ms = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** (failures - 1))
     jitter = placement.hash_key(f"{own}/{failures}") / 2.0**64
     return pause_ms * (0.5 + 0.5 * jitter)
--- a/src/carawayward/forwarding/cold_starts.py
+++ b/src/carawayward/forwarding/cold_starts.py
@@ -63,7 +63,7 @@
     def give_back(self, permit: cold_starts.Permit | None) -> None:
         """Note that a request is over."""
         if permit is not None:
-            cold_starts.give_back(self.permits, permit)
+            cold_starts.release(self.permits, permit)
 
     def _list_cold(self) -> typing.Iterator[tuple[str, int]]:
         """The cold endpoints, and how many permits are held for each."""
--- a/src/carawayward/forwarding/feed.py
+++ b/src/carawayward/forwarding/feed.py
@@ -78,11 +78,11 @@
     replace: typing.Callable[[list[keyed_log.Record]], None]
     apply: typing.Callable[[keyed_log.Record], None]
     prove: typing.Callable[[float], None] = lambda as_of_ms: None
-    get_poll_wait: typing.Callable[[], float] = lambda: store_polls.POLL_MS
+    get_poll_wait: typing.Callable[[], float] = lambda: store_polls.MAX_POLL_MS
     record_failing: typing.Callable[[bool], None] = lambda failing: None
     has_delegate: typing.Callable[[], bool] = lambda: False
     is_needed: typing.Callable[[], bool] = lambda: True
-    get_max_age: typing.Callable[[], float] = lambda: store_polls.POLL_MS
+    get_max_age: typing.Callable[[], float] = lambda: store_polls.MAX_POLL_MS
     push_updates: typing.Callable[[], None] = lambda: None
     count_call: typing.Callable[[Cause], None] = lambda cause: None
     begin_era: typing.Callable[[], None] = lambda: None
--- a/src/carawayward/forwarding/feeds.py
+++ b/src/carawayward/forwarding/feeds.py
@@ -80,7 +80,7 @@
         return min(board.bounds.apply_ms, board.bounds.evacuate_ms)
 
     def get_poll_wait() -> float:
-        return store_polls.find_table_poll(find_lease(), find_apply())
+        return store_polls.compute_table_poll_ms(find_lease(), find_apply())
 
     def get_max_age() -> float:
         return store_polls.compute_max_table_age(find_lease(), find_apply())
@@ -124,7 +124,7 @@
     longest_gap_ms = lapses.SAFE_HEARTBEATS * settings.heartbeat_ms
 
     def find_poll() -> float:
-        return store_polls.find_registry_poll(
+        return store_polls.compute_registry_poll_ms(
             board.bounds.drain_ms, longest_gap_ms
         )
 
--- a/src/carawayward/forwarding/fleet.py
+++ b/src/carawayward/forwarding/fleet.py
@@ -40,7 +40,7 @@
     """An endpoint and what is known of its load and health."""
 
     entry: facts.EndpointEntry
-    view: placement.View
+    view: placement.EndpointView
 
 
 @attrs.define(eq=False)
@@ -102,7 +102,7 @@
                     view.failure_domain == self.board.failure_domain,
                 )
                 for view in pool.views
-                if placement.is_open(view, now_ms, excluded)
+                if placement.is_available(view, now_ms, excluded)
             ],
             prompt,
             now_ms,
@@ -124,7 +124,9 @@
         names = [
             view.name
             for view in pool.views
-            if health_module.may_take(view.health, now_ms, view.in_flight)
+            if health_module.accepts_request(
+                view.health, now_ms, view.in_flight
+            )
         ]
         weight = engine_load.compute_mean_weight(self.loads, names, now_ms)
         return weight * self.get_latency_model(service).token_ms
@@ -139,7 +141,7 @@
             self.pools[want] = pool
         return pool
 
-    def _list_views(self, want: Want) -> list[placement.View]:
+    def _list_views(self, want: Want) -> list[placement.EndpointView]:
         views = [
             place.view
             for place in self.places.values()
@@ -193,7 +195,7 @@
 
     def record_taken(self, place: Place) -> None:
         """An endpoint has taken a request."""
-        quarantine_module.record_taken(self.quarantine, place.entry.name)
+        quarantine_module.record_accepted(self.quarantine, place.entry.name)
         self.reached_ms[place.entry.failure_domain] = self.clock.now_ms()
 
     def record_unreached(self, place: Place, took_ms: float) -> None:
@@ -203,7 +205,7 @@
         the domain may be cut off, and its other endpoints are passed over too.
         """
         name, now_ms = place.entry.name, self.clock.now_ms()
-        quarantine_module.record_unreached(self.quarantine, name, now_ms)
+        quarantine_module.record_unreachable(self.quarantine, name, now_ms)
         domain = place.entry.failure_domain
         last_seen_ms = self.reached_ms.get(domain, float("-inf"))
         if (
@@ -239,7 +241,7 @@
         health_module.record_failure(place.view.health)
         pool = self.find_pool(Want(place.entry.service))
         healths = [view.health for view in pool.views]
-        if health_module.judge(
+        if health_module.eject_if_outlier(
             place.view.health, healths, self.clock.now_ms()
         ):
             events.log_event(
@@ -260,22 +262,22 @@
             if place is None or _identify(place.entry) != _identify(entry):
                 place = Place(entry=entry, view=_make_view(entry))
                 self.loads.cached.pop(name, None)
-                quarantine_module.record_taken(self.quarantine, name)
+                quarantine_module.record_accepted(self.quarantine, name)
             place.entry = entry
             kept[name] = place
         self.places = kept
         engine_load.forget_engines(self.loads, kept)
         for name in self.quarantine.endpoints.keys() - kept.keys():
-            quarantine_module.record_taken(self.quarantine, name)
+            quarantine_module.record_accepted(self.quarantine, name)
 
 
 def _identify(entry: facts.EndpointEntry) -> Identity:
     return entry.address, entry.born
 
 
-def _make_view(entry: facts.EndpointEntry) -> placement.View:
+def _make_view(entry: facts.EndpointEntry) -> placement.EndpointView:
     """A view whose limit is what the endpoint says it can run at once."""
-    return placement.View(
+    return placement.EndpointView(
         name=entry.name,
         failure_domain=entry.failure_domain,
         limit=limits.Limit(value=float(max(1, entry.slots)), starting=False),
--- a/src/carawayward/forwarding/load_reports.py
+++ b/src/carawayward/forwarding/load_reports.py
@@ -171,7 +171,7 @@
         The end of a stream alone changes little for others, and goes out with
         the next report.
         """
-        engine_load.add_own(self.loads, engine, change)
+        engine_load.add_own_load(self.loads, engine, change)
         if change.weight:
             self._wake()
 
--- a/src/carawayward/forwarding/placing.py
+++ b/src/carawayward/forwarding/placing.py
@@ -126,7 +126,7 @@
         prompt: engine_load.Prompt,
         excluded: frozenset[str],
     ) -> engine_load.Choice | None:
-        remote_weight = engine_load.find_remote_weight(
+        remote_weight = engine_load.compute_remote_penalty(
             self.fleet.get_latency_model(work.service), work.route.target_ms
         )
         return self.fleet.choose_engine(pool, prompt, excluded, remote_weight)
@@ -207,7 +207,7 @@
         budget = self.find_budget(work.service)
         if not retry_budget.may_spend(budget, self.clock.now_ms()):
             return None
-        return escalation.find_next(
+        return escalation.choose_next(
             work.model,
             len(work.route.models),
             work.confidence,
--- a/src/carawayward/forwarding/rollout_state.py
+++ b/src/carawayward/forwarding/rollout_state.py
@@ -59,10 +59,12 @@
     def learn(self, answer_ms: float) -> None:
         """Take a good answer of the old version for usual."""
         if not self.new and self.progress.predicted_ms is None:
-            self._find_usual().learn(answer_ms)
+            self._find_usual().record_answer(answer_ms)
 
-    def _find_usual(self) -> canary.Usual:
-        return self.rollout.usual.setdefault(self.kind, canary.Usual())
+    def _find_usual(self) -> canary.LatencyBaseline:
+        return self.rollout.usual.setdefault(
+            self.kind, canary.LatencyBaseline()
+        )
 
 
 @attrs.frozen(kw_only=True)
@@ -101,7 +103,9 @@
     opening: canary.Tally = canary.Tally()
     tallies: dict[str, canary.Tally] = attrs.field(factory=dict)
     others: dict[str, PeerCounts] = attrs.field(factory=dict)
-    usual: dict[tuple[str, str], canary.Usual] = attrs.field(factory=dict)
+    usual: dict[tuple[str, str], canary.LatencyBaseline] = attrs.field(
+        factory=dict
+    )
     runs: set[Run] = attrs.field(factory=set)
 
     @property
--- a/src/carawayward/forwarding/rollouts.py
+++ b/src/carawayward/forwarding/rollouts.py
@@ -72,7 +72,7 @@
             early = rollout.find_part(now_ms) < canary.TRIAL_PART
             if new or early:
                 return new
-        if rollout.opened and not canary.has_room(
+        if rollout.opened and not canary.may_start_session(
             rollout.find_part(now_ms),
             rollout.order.duration_ms,
             rollout.sum_exposure(self.board.bounds),
@@ -94,7 +94,7 @@
             return 0.0
         part = rollout.find_part(now_ms)
         exposure = rollout.sum_exposure(self.board.bounds)
-        share = canary.find_share(part, rollout.verdict, exposure)
+        share = canary.compute_share(part, rollout.verdict, exposure)
         # Once everything has gone over nothing goes back but by a halt: a
         # session would change its version a second time.
         if rollout.opened and rollout.verdict is not canary.Verdict.BAD:
--- a/src/carawayward/gateway/dispatch.py
+++ b/src/carawayward/gateway/dispatch.py
@@ -191,7 +191,7 @@
                 outcomes.Reason.DEADLINE,
                 "no endpoint was free in time; send it again with a later "
                 "deadline",
-                admission.expect_work(lane.times, step.customer.name),
+                admission.estimate_service_ms(lane.times, step.customer.name),
             )
         refusal = self._recheck(step)
         if refusal is not None:
@@ -202,11 +202,11 @@
 
     def _make_waiter(self, step: running.Step) -> lanes_module.Waiter:
         times, customer = step.lane.times, step.customer.name
-        work = admission.expect_work(times, customer)
+        work = admission.estimate_service_ms(times, customer)
         latest_ms = admission.find_latest_start(
             times, customer, self.clock.now_ms(), step.deadline_ms
         )
-        item = queueing.Item(
+        item = queueing.WaitingRequest(
             customer=step.customer.name,
             weight=step.customer.weight,
             work=work,
@@ -223,7 +223,7 @@
     def _share_places(self, customer: declaration.Customer) -> int:
         config = self.board.config
         known = config.customers.values() if config else ()
-        return admission.share_places(
+        return admission.compute_queue_limit(
             self.limits.max_waiting,
             customer.weight,
             sum(other.weight for other in known),
@@ -269,11 +269,13 @@
                 outcomes.Reason.CONVICTED,
                 "this request crashed two endpoints; change it, or ask "
                 "your operators to look at the engine",
-                suspicion.FACT_LIFE_MS,
+                suspicion.RECORD_TTL_MS,
             )
         return None
 
-    def _still_serves(self, step: running.Step, view: placement.View) -> bool:
+    def _still_serves(
+        self, step: running.Step, view: placement.EndpointView
+    ) -> bool:
         """Whether the endpoint has not left or dropped the version."""
         known = self.board.endpoints.get(view.name)
         if known is None or known.leaving:
@@ -354,10 +356,10 @@
         patience_ms = self.limits.service_timeout_ms
         if call.deadline_ms is not None:
             patience_ms = min(patience_ms, call.deadline_ms)
-        item = queueing.Item(
+        item = queueing.WaitingRequest(
             customer=customer.name,
             weight=customer.weight,
-            work=admission.expect_work(lane.times, customer.name),
+            work=admission.estimate_service_ms(lane.times, customer.name),
             latest_start_ms=self.clock.now_ms() + patience_ms,
         )
         waiter = lanes_module.Waiter(item=item, key=None, excluded=excluded)
--- a/src/carawayward/gateway/fleet.py
+++ b/src/carawayward/gateway/fleet.py
@@ -23,7 +23,7 @@
     """Views of all endpoints, by name."""
 
     board: blackboard_module.Blackboard
-    views: dict[str, placement.View] = attrs.field(factory=dict)
+    views: dict[str, placement.EndpointView] = attrs.field(factory=dict)
     seen: dict[str, blackboard_module.Endpoint] = attrs.field(factory=dict)
     unreachable: dict[str, float] = attrs.field(factory=dict)
     generation: int = 0
@@ -62,7 +62,7 @@
             self.entry_vms = count
             for view in self.views.values():
                 if view.limit.base_ms is None:
-                    view.limit.value = limits.find_first(count)
+                    view.limit.value = limits.compute_initial_limit(count)
 
     def _take(
         self,
@@ -73,7 +73,7 @@
         name = endpoint.name
         self.seen[name] = endpoint
         if known is None or known.address != endpoint.address:
-            self.views[name] = placement.View(
+            self.views[name] = placement.EndpointView(
                 name=name, failure_domain=endpoint.failure_domain
             )
             limits.restart(self.views[name].limit, self.entry_vms)
@@ -104,7 +104,9 @@
             and name not in self.unreachable
         )
 
-    def record_unreachable(self, view: placement.View, now_ms: float) -> None:
+    def record_unreachable(
+        self, view: placement.EndpointView, now_ms: float
+    ) -> None:
         """Take an endpoint that refuses connections out until it reports.
 
         Nothing can be in flight on it, so this needs no floor: with all of
@@ -114,21 +116,23 @@
             self.unreachable[view.name] = now_ms
             self.generation += 1
 
-    def occupy(self, view: placement.View) -> None:
+    def occupy(self, view: placement.EndpointView) -> None:
         """Count a request in flight."""
         view.in_flight += 1
         self.board.in_flight[view.name] = view.in_flight
         health.begin_probe(view.health)
 
-    def vacate(self, view: placement.View) -> None:
+    def vacate(self, view: placement.EndpointView) -> None:
         """Count a request out."""
         view.in_flight -= 1
         self.board.in_flight[view.name] = view.in_flight
 
-    def record_success(self, view: placement.View, unit_ms: float) -> None:
+    def record_success(
+        self, view: placement.EndpointView, unit_ms: float
+    ) -> None:
         """Learn from a whole answer."""
-        limits.record_part(
-            view.limit, view.in_flight, view.others, self.entry_vms
+        limits.record_load_part(
+            view.limit, view.in_flight, view.other_load, self.entry_vms
         )
         limits.record_answer(view.limit, unit_ms, view.in_flight)
         if health.record_success(view.health, unit_ms):
@@ -137,7 +141,7 @@
 
     def record_failure(
         self,
-        view: placement.View,
+        view: placement.EndpointView,
         candidates: placement.Candidates,
         now_ms: float,
         overload: bool,
@@ -150,13 +154,13 @@
 
     def judge(
         self,
-        view: placement.View,
+        view: placement.EndpointView,
         candidates: placement.Candidates,
         now_ms: float,
     ) -> None:
         """Eject an outlier."""
         pool = [other.health for other in candidates.views]
-        if health.judge(view.health, pool, now_ms):
+        if health.eject_if_outlier(view.health, pool, now_ms):
             events.log_event(
                 events.Event.ENDPOINT_EJECTED,
                 endpoint=view.name,
--- a/src/carawayward/gateway/lanes.py
+++ b/src/carawayward/gateway/lanes.py
@@ -30,12 +30,12 @@
     ``suspect`` tells whether it starts as a suspect's trial.
     """
 
-    item: queueing.Item
+    item: queueing.WaitingRequest
     key: int | None
     fingerprint: str = ""
     excluded: frozenset[str] = frozenset()
     event: trio.Event = attrs.field(factory=trio.Event)
-    view: placement.View | None = None
+    view: placement.EndpointView | None = None
     suspect: bool = False
 
 
@@ -46,13 +46,15 @@
     serves: fleet_module.Serves
     queue: queueing.FairQueue = attrs.field(factory=queueing.FairQueue)
     side: list[Waiter] = attrs.field(factory=list)
-    times: admission.WorkTimes = attrs.field(factory=admission.WorkTimes)
-    promises: admission.Promises = attrs.field(factory=admission.Promises)
+    times: admission.ServiceTimes = attrs.field(factory=admission.ServiceTimes)
+    promises: admission.RetrySchedule = attrs.field(
+        factory=admission.RetrySchedule
+    )
     retries: retry.Budget = attrs.field(factory=retry.Budget)
     hedges: retry.Budget = attrs.field(
         factory=lambda: retry.Budget(retry.HEDGE_SHARE)
     )
-    first_text: retry.FirstText = attrs.field(factory=retry.FirstText)
+    first_text: retry.TtftEstimate = attrs.field(factory=retry.TtftEstimate)
     candidates: placement.Candidates = attrs.field(
         factory=lambda: placement.Candidates.from_views([])
     )
@@ -115,7 +117,7 @@
     ) -> admission.Refusal | None:
         """Refuse a request that cannot be served in time, or None."""
         slots = sum(view.limit.value for view in lane.candidates.views)
-        return admission.decide(
+        return admission.check_admission(
             lane.queue,
             waiter.item,
             self.clock.now_ms(),
@@ -152,7 +154,7 @@
         return waiter.view is not None
 
     def release(
-        self, view: placement.View, trial: Waiter | None = None
+        self, view: placement.EndpointView, trial: Waiter | None = None
     ) -> None:
         """Free a slot, end its trial, and give it to whoever waits."""
         if trial is not None and trial.suspect:
@@ -183,7 +185,9 @@
                 return True
         return False
 
-    def _place(self, lane: Lane, waiter: Waiter) -> placement.View | None:
+    def _place(
+        self, lane: Lane, waiter: Waiter
+    ) -> placement.EndpointView | None:
         suspect, trial = False, None
         if waiter.fingerprint:
             if self.suspects.is_convicted(waiter.fingerprint):
@@ -195,7 +199,7 @@
                 waiter.fingerprint, lane.candidates
             )
         now_ms = self.clock.now_ms()
-        view: placement.View | None = None
+        view: placement.EndpointView | None = None
         if not suspect:
             view = placement.choose(
                 lane.candidates,
--- a/src/carawayward/gateway/lifecycle.py
+++ b/src/carawayward/gateway/lifecycle.py
@@ -96,7 +96,7 @@
                 f"name one of your tasks: {', '.join(customer.tasks)}",
             )
         fresh = self.board.is_fresh(self.clock.now_ms())
-        lost = session.find_lost_pin(task, config.models, pins, fresh)
+        lost = session.find_unavailable_pin(task, config.models, pins, fresh)
         if lost is not None:
             return outcomes.NotRun(
                 outcomes.Reason.VERSION_WITHDRAWN,
@@ -113,7 +113,7 @@
                 outcomes.Reason.VERSION_WITHDRAWN,
                 "no version is left for this session; open a new one",
             )
-        frozen = session.find_frozen(
+        frozen = session.find_unstartable_version(
             [step.version for step in plan.steps],
             pins,
             config.versions,
--- a/src/carawayward/gateway/planning.py
+++ b/src/carawayward/gateway/planning.py
@@ -76,7 +76,7 @@
     wanted = declared.session_answers if answers is None else answers
     if find_room(board, trial) < wanted:
         return declared.from_version
-    if not exposure.takes_canary(
+    if not exposure.is_assigned_to_canary(
         subject,
         declared.to_version,
         trial.share,
@@ -93,7 +93,7 @@
 ) -> float:
     """Answers that this entry VM may still give by a trial's version."""
     accounts = board.quality.accounts.get(trial.account, {})
-    return exposure.find_room(
+    return exposure.compute_remaining_budget(
         trial.budget,
         accounts,
         board.incarnation,
@@ -107,7 +107,7 @@
 ) -> None:
     """Note answers of an unproven version before they are given."""
     accounts = board.quality.accounts.setdefault(trial.account, {})
-    own = accounts.get(board.incarnation, exposure.Spent())
+    own = accounts.get(board.incarnation, exposure.ExposureAccount())
     accounts[board.incarnation] = exposure.spend(own, answers)
 
 
@@ -179,7 +179,7 @@
     customer: str,
     task: str,
     versions: tuple[str, str],
-) -> cascade.Parts:
+) -> cascade.CascadeRatings:
     """What ratings say of a customer's cascade, decayed to now."""
     config = board.config
     assert config is not None
@@ -194,7 +194,7 @@
 
     bands = range(evidence.BANDS)
     sent_on = [count(versions[1], band, True) for band in bands]
-    return cascade.Parts(
+    return cascade.CascadeRatings(
         cheap=config.versions[versions[0]],
         strong=config.versions[versions[1]],
         bands=tuple(count(versions[0], band, False) for band in bands),
@@ -237,5 +237,5 @@
         if trial is None:
             continue
         accounts = board.quality.accounts.get(trial.account, {})
-        own = accounts.get(board.incarnation, exposure.Spent())
+        own = accounts.get(board.incarnation, exposure.ExposureAccount())
         accounts[board.incarnation] = exposure.earn(own, 1)
--- a/src/carawayward/gateway/running.py
+++ b/src/carawayward/gateway/running.py
@@ -110,7 +110,7 @@
         self.pieces += 1
         if self.pieces == 1:
             first_ms = now_ms - self.began_ms
-            retry.record_first_text(self.lane.first_text, first_ms)
+            retry.record_ttft(self.lane.first_text, first_ms)
         await self.on_text(text)
         self.held_up_ms += self.clock.now_ms() - now_ms
 
@@ -142,7 +142,7 @@
         race = hedging.Race(step.collect)
         delay_ms = None
         if not waiter.suspect:
-            delay_ms = retry.find_hedge_delay(lane.first_text)
+            delay_ms = retry.compute_hedge_delay(lane.first_text)
         runner = self._make_runner(step, views[0], waiter)
         index, end = await race.run(runner, delay_ms, make_second)
         if index and not race.faults:
@@ -160,8 +160,8 @@
         return StepDone(text, views[index].name, end)
 
     def _choose_second(
-        self, step: Step, first: placement.View
-    ) -> placement.View | None:
+        self, step: Step, first: placement.EndpointView
+    ) -> placement.EndpointView | None:
         """Take a free slot elsewhere for a hedge, if the budget allows.
 
         Never while others wait: a slot does more for a first run.
@@ -187,7 +187,7 @@
     def _make_runner(
         self,
         step: Step,
-        view: placement.View,
+        view: placement.EndpointView,
         waiter: lanes_module.Waiter | None,
     ) -> hedging.Runner:
         """A run on a slot that is already taken; it frees the slot."""
@@ -227,7 +227,7 @@
         self,
         lane: lanes_module.Lane,
         waiter: lanes_module.Waiter | None,
-        view: placement.View,
+        view: placement.EndpointView,
         watch: "Watch",
         end: endpoints_module.RunEnd,
     ) -> None:
@@ -253,10 +253,13 @@
     ) -> None:
         if waiter is not None:
             customer = waiter.item.customer
-            admission.record_work(lane.times, customer, took_ms)
+            admission.record_service_time(lane.times, customer, took_ms)
 
     async def _record_failure(
-        self, step: Step, view: placement.View, fault: errors.EndpointError
+        self,
+        step: Step,
+        view: placement.EndpointView,
+        fault: errors.EndpointError,
     ) -> None:
         """Learn from a failed run, and look whether it was a crash.
 
@@ -280,7 +283,7 @@
         finally:
             self.suspects.end_judging(step.fingerprint)
 
-    async def _has_crashed(self, view: placement.View) -> bool:
+    async def _has_crashed(self, view: placement.EndpointView) -> bool:
         endpoint = self.board.endpoints.get(view.name)
         if endpoint is None:
             return False
@@ -293,7 +296,7 @@
     def _record_fault(
         self,
         lane: lanes_module.Lane,
-        view: placement.View,
+        view: placement.EndpointView,
         fault: errors.EndpointError,
     ) -> None:
         if isinstance(fault.__cause__, http.TooLate):
--- a/src/carawayward/quality.py
+++ b/src/carawayward/quality.py
@@ -100,7 +100,7 @@
     plans: dict[tuple[str, ...], list[cascade.Step]] = attrs.field(
         factory=dict
     )
-    accounts: dict[Account, dict[str, exposure.Spent]] = attrs.field(
+    accounts: dict[Account, dict[str, exposure.ExposureAccount]] = attrs.field(
         factory=dict
     )
     trials: dict[str, Trial] = attrs.field(factory=dict)
--- a/tests/cover/test_cascade.py
+++ b/tests/cover/test_cascade.py
@@ -16,7 +16,7 @@
 
 def make_parts(
     rated: int, good_above: float, good_below: float, strong_good: float
-) -> cascade.Parts:
+) -> cascade.CascadeRatings:
     """Ratings of a cheap version that knows when it is unsure (0.5)."""
     share = rated / evidence.BANDS
     bands = tuple(
@@ -25,7 +25,7 @@
         for good in [good_above if band >= 10 else good_below]
     )
     strong = evidence.Count(rated * strong_good, rated * (1 - strong_good))
-    return cascade.Parts(
+    return cascade.CascadeRatings(
         cheap=CHEAP, strong=STRONG, bands=bands, strong_count=strong
     )
 
@@ -76,7 +76,7 @@
 def test_unrated_strong_part_cannot_be_proven_by_a_well_rated_cheap_one():
     """Three ratings of the strong version bound the whole mixture."""
     parts = make_parts(4_000, 0.99, 0.2, 0.97)
-    few = cascade.Parts(
+    few = cascade.CascadeRatings(
         cheap=CHEAP,
         strong=STRONG,
         bands=parts.bands,
@@ -99,7 +99,7 @@
         counts = [[0, 0] for _ in range(evidence.BANDS)]
         for _ in range(300):
             counts[draw.randrange(20)][draw.random() >= rate] += 1
-        parts = cascade.Parts(
+        parts = cascade.CascadeRatings(
             cheap=CHEAP,
             strong=STRONG,
             bands=tuple(evidence.Count(*pair) for pair in counts),
--- a/tests/cover/test_cold_starts.py
+++ b/tests/cover/test_cold_starts.py
@@ -83,7 +83,7 @@
         while "e-1" not in made.list_closed():
             made.record_sent(made.take(board.endpoints["e-1"]))
             sent += 1
-    assert 1 <= sent <= decisions.DEALT_PART * BOUND
+    assert 1 <= sent <= decisions.ASSIGNED_PART * BOUND
 
 
 def test_entry_vm_of_another_failure_domain_holds_no_permit():
--- a/tests/cover/test_decisions_endpoints.py
+++ b/tests/cover/test_decisions_endpoints.py
@@ -21,7 +21,7 @@
 
 def make_views(count, domains=("a", "b"), limit=100.0):
     return [
-        placement.View(
+        placement.EndpointView(
             name=f"e{index}",
             failure_domain=domains[index % len(domains)],
             limit=limits.Limit(value=limit),
@@ -44,7 +44,7 @@
             limits.record_overload(limit)
         else:
             limits.record_answer(limit, unit_ms, int(limit.value))
-        assert limits.LEAST <= limit.value <= limits.MOST
+        assert limits.MIN_LIMIT <= limit.value <= limits.MAX_LIMIT
 
 
 def test_limit_rises_while_it_is_used_and_settles_where_latency_grows():
@@ -88,14 +88,14 @@
     pool = [health.Health() for _ in range(size)]
     for now, (index, well) in enumerate(steps):
         one = pool[index % size]
-        if health.may_take(one, float(now), 0):
+        if health.accepts_request(one, float(now), 0):
             health.begin_probe(one)
         if well:
             health.record_success(one, 1.0)
         else:
             health.record_failure(one)
-            health.judge(one, pool, float(now))
-        out = sum(h.state is not health.State.IN for h in pool)
+            health.eject_if_outlier(one, pool, float(now))
+        out = sum(h.state is not health.State.ACTIVE for h in pool)
         assert out <= size / 2
 
 
@@ -103,27 +103,27 @@
     pool = [health.Health() for _ in range(4)]
     for _ in range(health.FAILURES_IN_A_ROW):
         health.record_failure(pool[0])
-    assert health.judge(pool[0], pool, 0.0)
-    assert not health.may_take(pool[0], 1.0, 0)
+    assert health.eject_if_outlier(pool[0], pool, 0.0)
+    assert not health.accepts_request(pool[0], 1.0, 0)
     later = pool[0].until_ms
-    assert health.may_take(pool[0], later, 0)
-    assert not health.may_take(pool[0], later, 1)
+    assert health.accepts_request(pool[0], later, 0)
+    assert not health.accepts_request(pool[0], later, 1)
     health.begin_probe(pool[0])
     health.record_failure(pool[0])
-    assert health.judge(pool[0], pool, later)
+    assert health.eject_if_outlier(pool[0], pool, later)
     assert pool[0].until_ms - later > later
     health.begin_probe(pool[0])
     assert health.record_success(pool[0], 1.0)
-    assert pool[0].state is health.State.IN
+    assert pool[0].state is health.State.ACTIVE
 
 
 def test_slow_endpoint_is_an_outlier_and_a_slow_pool_is_not():
     pool = [health.Health() for _ in range(4)]
-    for _ in range(health.LEAST_SAMPLES):
+    for _ in range(health.MIN_SAMPLES):
         for index, one in enumerate(pool):
             health.record_success(one, 40.0 if index == 0 else 10.0)
-    assert health.judge(pool[0], pool, 0.0)
-    assert not any(health.judge(one, pool, 0.0) for one in pool[1:])
+    assert health.eject_if_outlier(pool[0], pool, 0.0)
+    assert not any(health.eject_if_outlier(one, pool, 0.0) for one in pool[1:])
 
 
 @FIXED
@@ -193,7 +193,7 @@
     views[0].in_flight = 0
     for _ in range(3):
         health.record_failure(views[0].health)
-    first, second = (placement.score(v, 1.0) for v in views)
+    first, second = (placement.compute_cost(v, 1.0) for v in views)
     assert first > second
 
 
@@ -221,7 +221,7 @@
     )
 )
 def test_retries_stay_within_their_share_of_successes(steps):
-    budget = retry.Budget(saved=0.0)
+    budget = retry.Budget(tokens=0.0)
     now, successes, spent = 0.0, 0, 0
     for succeeded, pause in steps:
         now += pause
@@ -230,7 +230,7 @@
             successes += 1
         elif retry.spend(budget, now):
             spent += 1
-        most = successes * retry.RETRY_SHARE + now * retry.LEAST_PER_MS
+        most = successes * retry.RETRY_SHARE + now * retry.REFILL_PER_MS
         assert spent <= most + 1e-6
 
 
@@ -244,11 +244,11 @@
 
 
 def test_hedge_waits_for_what_nearly_all_first_texts_need():
-    times = retry.FirstText()
-    assert retry.find_hedge_delay(times) is None
+    times = retry.TtftEstimate()
+    assert retry.compute_hedge_delay(times) is None
     draw = random.Random(3)
     for _ in range(500):
-        retry.record_first_text(times, draw.uniform(50.0, 100.0))
-    delay = retry.find_hedge_delay(times)
+        retry.record_ttft(times, draw.uniform(50.0, 100.0))
+    delay = retry.compute_hedge_delay(times)
     assert delay is not None
     assert 200.0 < delay < 400.0
--- a/tests/cover/test_decisions_queueing.py
+++ b/tests/cover/test_decisions_queueing.py
@@ -11,7 +11,7 @@
 
 
 def make_item(customer, weight=1.0, work=100.0, latest=FAR, priority=0):
-    return queueing.Item(
+    return queueing.WaitingRequest(
         customer=customer,
         weight=weight,
         work=work,
@@ -62,7 +62,11 @@
     ]
     for share, step in shares:
         for other, other_step in shares:
-            most = step + other_step + queueing.CREDIT * max(step, other_step)
+            most = (
+                step
+                + other_step
+                + queueing.IDLE_CREDIT * max(step, other_step)
+            )
             assert share - other <= most + 1e-6
 
 
@@ -121,23 +125,25 @@
     push_many(queue, ("idle", 1.0, 100.0, 50))
     first = [item.customer for item in serve(queue, 20)]
     ahead = first.count("idle") - first.count("busy")
-    assert 0 <= ahead <= queueing.CREDIT + 1
+    assert 0 <= ahead <= queueing.IDLE_CREDIT + 1
 
 
 def test_customer_with_longer_answers_gets_as_many_fewer_of_them():
-    queue, times = queueing.FairQueue(), admission.WorkTimes()
+    queue, times = queueing.FairQueue(), admission.ServiceTimes()
     for _ in range(20):
-        admission.record_work(times, "long", 300.0)
-        admission.record_work(times, "short", 100.0)
+        admission.record_service_time(times, "long", 300.0)
+        admission.record_service_time(times, "short", 100.0)
     for name in ("long", "short"):
-        work = admission.expect_work(times, name)
+        work = admission.estimate_service_ms(times, name)
         push_many(queue, (name, 1.0, work, 100))
     served = [item.customer for item in serve(queue, 80)]
     assert 2.5 < served.count("short") / served.count("long") < 3.5
 
 
 def admit(queue, item, now, rate, promises, places=1_000):
-    refusal = admission.decide(queue, item, now, rate, places, promises)
+    refusal = admission.check_admission(
+        queue, item, now, rate, places, promises
+    )
     if refusal is None:
         queueing.push(queue, item)
     return refusal
@@ -152,7 +158,7 @@
 def test_small_customer_is_not_refused_for_a_large_ones_burst(
     burst, weight, rate
 ):
-    queue, promises = queueing.FairQueue(), admission.Promises()
+    queue, promises = queueing.FairQueue(), admission.RetrySchedule()
     for _ in range(burst):
         admit(
             queue,
@@ -173,7 +179,7 @@
     other=strategies.booleans(),
 )
 def test_caller_that_comes_back_when_told_is_admitted(extra, slots, other):
-    queue, promises = queueing.FairQueue(), admission.Promises()
+    queue, promises = queueing.FairQueue(), admission.RetrySchedule()
     if other:
         push_many(queue, ("other", 1.0, 100.0, 400))
     told: list[float] = []
@@ -198,13 +204,13 @@
 
 
 def test_deadline_that_no_wait_can_meet_gives_no_time_to_come_back():
-    refusal = admission.decide(
+    refusal = admission.check_admission(
         queueing.FairQueue(),
         make_item("c", latest=-1.0),
         0.0,
         1.0,
         10,
-        admission.Promises(),
+        admission.RetrySchedule(),
     )
     assert refusal is not None
     assert refusal.cause is admission.Cause.HOPELESS
@@ -212,9 +218,9 @@
 
 
 def test_runs_cut_off_are_learned_from_but_leave_room_to_try():
-    times = admission.WorkTimes()
+    times = admission.ServiceTimes()
     for _ in range(50):
-        admission.record_work(times, "c", 3_000.0)
+        admission.record_service_time(times, "c", 3_000.0)
     latest = admission.find_latest_start(times, "c", 0.0, 3_000.0)
     assert latest > 0.0
-    assert admission.expect_work(times, "other") == 3_000.0
+    assert admission.estimate_service_ms(times, "other") == 3_000.0
--- a/tests/cover/test_decisions_suspicion.py
+++ b/tests/cover/test_decisions_suspicion.py
@@ -15,26 +15,26 @@
 
 
 def test_second_crash_convicts_and_a_convicted_request_gets_a_new_trial():
-    book = suspicion.SuspectBook()
+    book = suspicion.SuspectRecords()
     suspicion.record_crash(book, make_crash("e1", NOW))
     assert not suspicion.is_convicted(book, "f", NOW)
     suspicion.record_crash(book, make_crash("e2", NOW + 10))
     assert suspicion.is_convicted(book, "f", NOW + 10)
-    later = NOW + suspicion.FACT_LIFE_MS + 10
+    later = NOW + suspicion.RECORD_TTL_MS + 10
     assert not suspicion.is_convicted(book, "f", later)
-    suspicion.forget(book, later + 1)
+    suspicion.drop_expired(book, later + 1)
     assert not book.crashes
 
 
 def test_one_crash_seen_by_several_entry_vms_counts_once():
-    book = suspicion.SuspectBook()
+    book = suspicion.SuspectRecords()
     for shift in range(5):
         suspicion.record_crash(book, make_crash("e1", NOW + 100 * shift))
     assert not suspicion.is_convicted(book, "f", NOW + 500)
 
 
 def test_answer_clears_a_suspect_but_not_a_later_crash():
-    book = suspicion.SuspectBook()
+    book = suspicion.SuspectRecords()
     suspicion.record_crash(book, make_crash("e1", NOW))
     assert suspicion.record_answer(book, "f", NOW + 5)
     assert not suspicion.is_suspect(book, "f", NOW + 5)
@@ -44,7 +44,7 @@
 
 
 def test_trials_of_one_endpoint_are_in_turn_and_on_another_endpoint():
-    book = suspicion.SuspectBook()
+    book = suspicion.SuspectRecords()
     for name in ("f2", "f1", "f3"):
         suspicion.record_crash(book, make_crash("e1", NOW, name))
     rings = {"f1": ["e1", "e2"], "f2": ["e2", "e1"], "f3": ["e3"]}
@@ -63,7 +63,7 @@
 
 
 def test_request_in_flight_at_a_crash_is_never_called_not_run():
-    book = suspicion.SuspectBook()
+    book = suspicion.SuspectRecords()
     suspicion.record_crash(book, make_crash("e1", NOW, request="r1"))
     assert suspicion.may_have_run(book, "f", "r1")
     assert not suspicion.may_have_run(book, "f", "r2")
@@ -86,7 +86,7 @@
 def test_facts_merge_to_the_same_verdict_in_any_order(facts):
     verdicts = set()
     for order in itertools.permutations(facts):
-        book = suspicion.SuspectBook()
+        book = suspicion.SuspectRecords()
         # A clearance counts from any entry VM that knows a crash.
         suspicion.record_crash(book, make_crash("e0", NOW - 1))
         for fact in order:
@@ -94,7 +94,7 @@
                 suspicion.record_crash(book, fact)
             else:
                 suspicion.record_answer(book, "f", fact)
-        crashes = suspicion.list_crashes(book, "f", NOW + 20_000)
+        crashes = suspicion.list_distinct_crashes(book, "f", NOW + 20_000)
         convicted = suspicion.is_convicted(book, "f", NOW + 20_000)
         verdicts.add((tuple(crashes), convicted))
     assert len(verdicts) == 1
--- a/tests/cover/test_evidence.py
+++ b/tests/cover/test_evidence.py
@@ -56,13 +56,13 @@
 
 def test_three_good_ratings_prove_little():
     """A few lucky ratings must not send all traffic to the cheap model."""
-    assert evidence.find_lower_bound(1.0, 3, 0.05) < 0.4
-    assert evidence.find_lower_bound(0.0, 0, 0.05) == 0.0
+    assert evidence.compute_lower_bound(1.0, 3, 0.05) < 0.4
+    assert evidence.compute_lower_bound(0.0, 0, 0.05) == 0.0
 
 
 def test_share_that_rounding_put_above_one_has_a_bound():
     """Found by bench quality: a plan whose parts were all good crashed."""
-    assert evidence.find_lower_bound(1.0000000000000002, 50, 0.05) > 0.9
+    assert evidence.compute_lower_bound(1.0000000000000002, 50, 0.05) > 0.9
 
 
 def test_bounds_miss_the_true_rate_no_more_often_than_they_say():
@@ -72,7 +72,9 @@
     for _ in range(2_000):
         rate, total = draw.uniform(0.5, 0.99), draw.randrange(5, 200)
         good = sum(draw.random() < rate for _ in range(total))
-        misses += evidence.find_lower_bound(good / total, total, 0.05) > rate
+        misses += (
+            evidence.compute_lower_bound(good / total, total, 0.05) > rate
+        )
     assert misses <= 0.05 * 2_000
 
 
--- a/tests/cover/test_exposure.py
+++ b/tests/cover/test_exposure.py
@@ -9,7 +9,9 @@
 from carawayward.decisions import exposure
 
 accounts = strategies.builds(
-    exposure.Spent, strategies.integers(0, 20), strategies.integers(0, 20)
+    exposure.ExposureAccount,
+    strategies.integers(0, 20),
+    strategies.integers(0, 20),
 )
 
 
@@ -17,7 +19,7 @@
 @hypothesis.given(accounts, accounts, accounts)
 def test_accounts_merge_in_any_order(one, two, three):
     """Copies of an account reach a peer late, twice and out of order."""
-    merge = exposure.merge_spent
+    merge = exposure.merge_accounts
     assert merge(one, two) == merge(two, one)
     assert merge(merge(one, two), three) == merge(one, merge(two, three))
     assert merge(one, one) == one
@@ -25,11 +27,11 @@
 
 def test_good_ratings_earn_back_and_never_more_than_was_spent():
     """A long good time must not save up for a burst of bad answers."""
-    account = exposure.spend(exposure.Spent(), 3)
+    account = exposure.spend(exposure.ExposureAccount(), 3)
     for _ in range(10):
         account = exposure.earn(account)
     assert account.outstanding == 0
-    assert exposure.find_room(8, {"a": account}, "a") == 8
+    assert exposure.compute_remaining_budget(8, {"a": account}, "a") == 8
 
 
 def test_room_of_all_holders_is_never_more_than_the_budget():
@@ -43,9 +45,11 @@
     """Answers given by holders that never hear of each other."""
     given = 0
     for position in range(holders):
-        own = exposure.Spent()
+        own = exposure.ExposureAccount()
         while (
-            exposure.find_room(budget, {"me": own}, "me", holders, position)
+            exposure.compute_remaining_budget(
+                budget, {"me": own}, "me", holders, position
+            )
             >= 1
         ):
             own = exposure.spend(own, 1)
@@ -55,8 +59,8 @@
 
 def test_version_half_of_whose_answers_are_bad_runs_out_of_budget():
     """Good ratings of a bad version must not keep it going for long."""
-    own, given = exposure.Spent(), 0
-    while exposure.find_room(12, {"a": own}, "a") >= 1:
+    own, given = exposure.ExposureAccount(), 0
+    while exposure.compute_remaining_budget(12, {"a": own}, "a") >= 1:
         own = exposure.spend(own, 1)
         given += 1
         if given % 2:
@@ -79,7 +83,7 @@
 def test_canary_gets_its_share_of_all_sessions():
     """The few holders take more of theirs, so that the share is kept."""
     taken = sum(
-        exposure.takes_canary(f"session-{n}", "sorter-4", 0.05, 8, 1)
+        exposure.is_assigned_to_canary(f"session-{n}", "sorter-4", 0.05, 8, 1)
         for n in range(8_000)
     )
     assert 0.36 < taken / 8_000 < 0.44
@@ -99,8 +103,8 @@
         canary[epoch] = canary.get(epoch, evidence.Count()) + one
         baseline.setdefault(epoch, evidence.Count(19, 1))
         group = exposure.Group("all", 7, canary, baseline)
-        value, _ = exposure.test_version([group], 0.02, 0.1)
-        if exposure.must_halt(value):
+        value, _ = exposure.compute_version_evidence([group], 0.02, 0.1)
+        if exposure.is_halt_due(value):
             return number + 1
     return 0
 
@@ -141,8 +145,8 @@
         ),
         exposure.Group("delta-hosts", 7, {7: evidence.Count(0, 7)}, good),
     ]
-    value, worst = exposure.test_version(groups, 0.02, 0.1)
-    assert exposure.must_halt(value)
+    value, worst = exposure.compute_version_evidence(groups, 0.02, 0.1)
+    assert exposure.is_halt_due(value)
     assert worst == "delta-hosts"
 
 
@@ -153,5 +157,5 @@
     canary |= {e: evidence.Count(13, 7) for e in range(27, 37)}
     baseline |= {e: evidence.Count(130, 70) for e in range(27, 37)}
     group = exposure.Group("all", 7, canary, baseline)
-    value, _ = exposure.test_version([group], 0.02, 0.1)
-    assert not exposure.must_halt(value)
+    value, _ = exposure.compute_version_evidence([group], 0.02, 0.1)
+    assert not exposure.is_halt_due(value)
--- a/tests/cover/test_forwarding_feed.py
+++ b/tests/cover/test_forwarding_feed.py
@@ -99,7 +99,7 @@
                 proved
                 and proved[0] <= back_s + 1.1 * store_contact.RETRY_MS / 1000
             )
-            assert topic.waits[-1] == store_polls.POLL_MS
+            assert topic.waits[-1] == store_polls.MAX_POLL_MS
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -201,7 +201,7 @@
     reader.confirm(attestation.Attestation(5, 90.0, 800.0))
     assert reader.describe() == attestation.Attestation(5, 100.0, 800.0)
     reader.confirm(attestation.Attestation(5, 110.0, 9e9))
-    assert reader.due_ms == store_polls.POLL_MS
+    assert reader.due_ms == store_polls.MAX_POLL_MS
 
 
 @attrs.define
@@ -315,7 +315,7 @@
             await trio.sleep(0.1)
             topic.records.append(make_record(1, b"b"))
             topic.late_s = 5.0
-            await trio.sleep(store_polls.POLL_MS / 1000 + 1.0)
+            await trio.sleep(store_polls.MAX_POLL_MS / 1000 + 1.0)
             change = change_log.Change(2, "desk", None)
             assert reader.apply_changes(1, 3, (change,))
             assert known[-1] == (2, None)
--- a/tests/cover/test_forwarding_load.py
+++ b/tests/cover/test_forwarding_load.py
@@ -61,7 +61,7 @@
     def send(now_ms, tokens, weight):
         while done and done[0][0] <= now_ms:
             _, index, amount = heapq.heappop(done)
-            engine_load.add_own(
+            engine_load.add_own_load(
                 loads, str(index), engine_load.Load(-amount, -1)
             )
         prompt = engine_load.Prompt(
@@ -71,7 +71,7 @@
         engine = engines[index]
         work = prompt.tokens * weight
         engine.free_ms = max(now_ms, engine.free_ms) + work * TOKEN_MS
-        engine_load.add_own(loads, str(index), engine_load.Load(work, 1))
+        engine_load.add_own_load(loads, str(index), engine_load.Load(work, 1))
         heapq.heappush(done, (engine.free_ms, index, work))
         return engine.free_ms + BASE_MS
 
@@ -128,7 +128,7 @@
 
 def escalate_by_backlog(confidence, backlog_part, head_part):
     overload = escalation.compute_overload(backlog_part, head_part)
-    return escalation.find_next(0, 2, confidence, overload) == 1
+    return escalation.choose_next(0, 2, confidence, overload) == 1
 
 
 def always_escalate(confidence, backlog_part, head_part):
@@ -192,7 +192,7 @@
     names = [engine_load.Candidate(name, True) for name in ("a", "b")]
     engine_load.record_cached(loads, "b", [(1, 8_000)], 100_000)
     first = engine_load.choose(loads, names, prompt, 0.0, lambda n: 0)
-    engine_load.add_own(loads, "b", engine_load.Load(20_000.0, 2))
+    engine_load.add_own_load(loads, "b", engine_load.Load(20_000.0, 2))
     second = engine_load.choose(loads, names, prompt, 0.0, lambda n: 0)
     assert first is not None and first.name == "b"
     assert second is not None and second.name == "a"
@@ -225,7 +225,7 @@
     assert engine_load.get_load(loads, "a").streams == 3
     engine_load.expire_reports(loads, 2_000.0)
     assert engine_load.get_load(loads, "a") == engine_load.Load()
-    assert not loads.of_peers
+    assert not loads.peer_totals
 
 
 def test_sum_of_reports_is_that_of_the_last_of_each_peer():
@@ -327,7 +327,7 @@
     loads = engine_load.EngineLoads()
     names = [f"engine-{number}" for number in range(6)]
     for name in names:
-        engine_load.add_own(loads, name, engine_load.Load(20_000.0, 10))
+        engine_load.add_own_load(loads, name, engine_load.Load(20_000.0, 10))
 
     def compute_overload():
         weight = engine_load.compute_mean_weight(loads, names, 0.0)
@@ -336,9 +336,9 @@
 
     assert compute_overload() == 1.0
     for name in names[:3]:
-        engine_load.add_own(loads, name, engine_load.Load(-20_000.0, -10))
+        engine_load.add_own_load(loads, name, engine_load.Load(-20_000.0, -10))
     for name in names[3:]:
-        engine_load.add_own(loads, name, engine_load.Load(-18_000.0, 0))
+        engine_load.add_own_load(loads, name, engine_load.Load(-18_000.0, 0))
     assert compute_overload() == 0.0
 
 
@@ -369,7 +369,7 @@
     assert (
         escalation.choose_first(3, may_escalate=False, overload=overload) == 0
     )
-    overload = escalation.compute_overload(0.0, escalation.LATEST_HEAD)
+    overload = escalation.compute_overload(0.0, escalation.LATE_TTFT)
     assert (
         escalation.choose_first(3, may_escalate=False, overload=overload) == 0
     )
@@ -382,19 +382,19 @@
     was low enough to ask for it.
     """
     late = escalation.compute_overload(0.0, 2.0)
-    assert escalation.find_next(0, 3, 40.0, late) == 2
-    assert escalation.find_next(0, 3, 50.0, late) is None
-    assert escalation.find_next(0, 3, 50.0, CALM) == 2
+    assert escalation.choose_next(0, 3, 40.0, late) == 2
+    assert escalation.choose_next(0, 3, 50.0, late) is None
+    assert escalation.choose_next(0, 3, 50.0, CALM) == 2
 
 
 def test_answer_without_opinion_is_kept():
     """Not every model says what it thinks of its answer."""
-    assert escalation.find_next(0, 3, None, CALM) is None
+    assert escalation.choose_next(0, 3, None, CALM) is None
 
 
 def test_largest_model_has_none_after_it():
     """The largest model is unsure too; there is nobody left to ask."""
-    assert escalation.find_next(2, 3, 1.0, CALM) is None
+    assert escalation.choose_next(2, 3, 1.0, CALM) is None
 
 
 def choose_by(loads, remote_weight=0.0):
@@ -422,7 +422,7 @@
     """
     for token_ms in (0.01, 0.1):
         pace = engine_load.LatencyModel(token_ms=token_ms)
-        remote_weight = engine_load.find_remote_weight(pace, 2_000.0)
+        remote_weight = engine_load.compute_remote_penalty(pace, 2_000.0)
         loads = engine_load.EngineLoads()
         load = engine_load.Load(80.0 / token_ms, 0)
         loads.own["near"] = load
--- a/tests/cover/test_forwarding_versions.py
+++ b/tests/cover/test_forwarding_versions.py
@@ -46,7 +46,7 @@
     for tick in range(ticks):
         part = tick / ticks
         known = new >= verdict_at
-        share = canary.find_share(
+        share = canary.compute_share(
             part,
             canary.Verdict.GOOD if known else canary.Verdict.UNKNOWN,
             canary.Exposure(
@@ -78,11 +78,11 @@
     """Before half of the time nothing but the trial, after a halt nothing."""
     exposure = canary.Exposure(share=0.9, slack=999, sent=500, sent_new=20)
     good = canary.Verdict.GOOD
-    assert canary.find_share(0.4, good, exposure) <= canary.MOST_SHARE
-    assert canary.find_share(0.6, good, exposure) == 1.0
+    assert canary.compute_share(0.4, good, exposure) <= canary.MAX_SHARE
+    assert canary.compute_share(0.6, good, exposure) == 1.0
     unknown, bad = canary.Verdict.UNKNOWN, canary.Verdict.BAD
-    assert canary.find_share(0.9, unknown, exposure) <= canary.MOST_SHARE
-    assert canary.find_share(0.9, bad, exposure) == 0.0
+    assert canary.compute_share(0.9, unknown, exposure) <= canary.MAX_SHARE
+    assert canary.compute_share(0.9, bad, exposure) == 0.0
 
 
 def test_completion_waits_for_what_runs_on_the_old_version():
@@ -98,12 +98,12 @@
 
 def test_time_is_slow_by_what_is_usual_and_by_what_callers_notice():
     """Answers take 10 ms; 45 ms is slow, and 15 ms after 2 ms is not."""
-    usual = canary.Usual()
+    usual = canary.LatencyBaseline()
     assert not usual.is_slow(500.0)
-    for _ in range(canary.LEAST_USUAL):
-        usual.learn(10.0)
+    for _ in range(canary.MIN_BASELINE_ANSWERS):
+        usual.record_answer(10.0)
     assert not usual.is_slow(35.0) and usual.is_slow(45.0)
-    quick = canary.Usual(mean_ms=2.0, answers=10)
+    quick = canary.LatencyBaseline(mean_ms=2.0, answers=10)
     assert not quick.is_slow(15.0)
 
 
@@ -121,18 +121,18 @@
     others pass it over, and one that it takes ends it.
     """
     book = quarantine.Quarantine()
-    quarantine.record_unreached(book, "a", 0.0)
+    quarantine.record_unreachable(book, "a", 0.0)
     assert quarantine.list_quarantined(book, 100.0) == {"a"}
-    again_ms = quarantine.UNREACHED_MS
+    again_ms = quarantine.UNREACHABLE_MS
     assert not quarantine.list_quarantined(book, again_ms)
     quarantine.begin_try(book, "a", again_ms)
     assert quarantine.list_quarantined(book, again_ms) == {"a"}
     for _ in range(10):
-        quarantine.record_unreached(book, "a", 1_000.0)
-    late_ms = 1_000.0 + quarantine.LONGEST_MS
+        quarantine.record_unreachable(book, "a", 1_000.0)
+    late_ms = 1_000.0 + quarantine.MAX_PAUSE_MS
     assert quarantine.list_quarantined(book, late_ms - 1.0) == {"a"}
     assert not quarantine.list_quarantined(book, late_ms)
-    quarantine.record_taken(book, "a")
+    quarantine.record_accepted(book, "a")
     quarantine.begin_try(book, "a", 2_000.0)
     assert not quarantine.list_quarantined(book, 2_000.0)
 
@@ -143,7 +143,7 @@
     quarantine.record_declined(book, "a", 0.0)
     assert not quarantine.list_quarantined(book, quarantine.DECLINED_MS)
     quarantine.begin_try(book, "a", 60.0)
-    tried_ms = 60.0 + quarantine.DECLINING_MS
+    tried_ms = 60.0 + quarantine.DECLINED_TRY_MS
     assert quarantine.list_quarantined(book, tried_ms - 1.0) == {"a"}
     assert not quarantine.list_quarantined(book, tried_ms)
     for _ in range(5):
@@ -159,7 +159,7 @@
     it got requests for as long as operators took to notice.
     """
     good = canary.Verdict.GOOD
-    enough = canary.SETTLED_ANSWERS
+    enough = canary.COMPLETION_ANSWERS
     assert not canary.may_complete(3_000.0, good, 1.0, enough - 1, 0)
     assert canary.may_complete(3_000.0, good, 1.0, enough, 0)
     assert canary.may_complete(1_500.0, good, 1.0, 5, 0)
@@ -168,7 +168,9 @@
 def test_version_is_not_completed_by_one_answer_under_full_load():
     """A bad version is completed at the last moment, and nothing stops it."""
     good = canary.Verdict.GOOD
-    assert not canary.may_complete(canary.FORCED_MS, good, 1.0, 1, 0)
+    assert not canary.may_complete(
+        canary.FORCED_COMPLETION_MS, good, 1.0, 1, 0
+    )
 
 
 def test_version_is_not_proven_on_a_route_that_it_hardly_served():
@@ -212,16 +214,16 @@
         exposure = canary.Exposure(
             share=0.15, slack=30.0, sent=sent, sent_new=sent_new
         )
-        known = sent_new >= canary.LEAST_ANSWERS
+        known = sent_new >= canary.MIN_ANSWERS
         verdict = canary.Verdict.GOOD if known else canary.Verdict.UNKNOWN
-        share = canary.find_share(part, verdict, exposure)
+        share = canary.compute_share(part, verdict, exposure)
         if share >= 1.0 and opened_s is None:
             opened_s = at_s
         sent += 1
         if opened_s is None:
             sent_new += draw.random() < share
             continue
-        room = canary.has_room(part, duration_s * 1000.0, exposure)
+        room = canary.may_start_session(part, duration_s * 1000.0, exposure)
         after += 1
         kept += not room
         sent_new += room
@@ -332,4 +334,4 @@
     rollout.state = facts.RolloutState.COMPLETED
     model = engine_load.LatencyModel()
     observe_first_token(rollouts, model, "v2")
-    assert model.base_ms > engine_load.FIRST_BASE_MS
+    assert model.base_ms > engine_load.INITIAL_BASE_MS
--- a/tests/cover/test_lanes.py
+++ b/tests/cover/test_lanes.py
@@ -49,7 +49,7 @@
 
 
 def make_waiter(lanes, patience_ms=2_000.0, **fields):
-    item = queueing.Item(
+    item = queueing.WaitingRequest(
         customer="c",
         weight=1.0,
         work=100.0,
--- a/tests/cover/test_orders.py
+++ b/tests/cover/test_orders.py
@@ -20,10 +20,12 @@
 NEW = frozenset({"sorter-3", "sorter-4"})
 
 
-def make_members(old: int, new: int, silent: int = 0) -> list[orders.Seen]:
+def make_members(
+    old: int, new: int, silent: int = 0
+) -> list[orders.EndpointStatus]:
     """A pool some of whose endpoints are behind."""
     return [
-        orders.Seen(
+        orders.EndpointStatus(
             name=f"matchers-{number}",
             versions=NEW if number < new else OLD,
             silent=number >= old + new,
@@ -57,12 +59,14 @@
     """Whatever finishes first, each is changed once and the cap holds."""
     behind = {f"e{number}" for number in range(size)}
     everyone = sorted(behind)
-    cap = orders.find_limit(POOL, size)
+    cap = orders.compute_change_limit(POOL, size)
     rounds = 0
     begun: set[str] = set()
     while behind:
         members = [
-            orders.Seen(name=name, versions=OLD if name in behind else NEW)
+            orders.EndpointStatus(
+                name=name, versions=OLD if name in behind else NEW
+            )
             for name in everyone
         ]
         chosen, _ = orders.choose_changing(POOL, ORDER, members, 99)
@@ -80,7 +84,7 @@
     older = make_members(11, 1)
     seen = set(orders.choose_changing(POOL, ORDER, newer, 99)[0])
     seen |= set(orders.choose_changing(POOL, ORDER, older, 99)[0])
-    assert len(seen - {"matchers-1"}) <= orders.find_limit(POOL, 12)
+    assert len(seen - {"matchers-1"}) <= orders.compute_change_limit(POOL, 12)
 
 
 def test_old_order_is_not_sent_over_a_newer_one():
@@ -114,11 +118,11 @@
     names = [f"oduya-{number}" for number in range(8)]
     for number in range(20):
         endpoint = f"matchers-{number}"
-        first = orders.choose_orderer(endpoint, names)
-        assert first == orders.choose_orderer(endpoint, names[::-1])
+        first = orders.choose_sender(endpoint, names)
+        assert first == orders.choose_sender(endpoint, names[::-1])
         rest = [name for name in names if name != first]
-        assert orders.choose_orderer(endpoint, rest) in rest
-    assert orders.choose_orderer("matchers-1", []) == ""
+        assert orders.choose_sender(endpoint, rest) in rest
+    assert orders.choose_sender("matchers-1", []) == ""
 
 
 class PausedClient:
--- a/tests/cover/test_sessions.py
+++ b/tests/cover/test_sessions.py
@@ -70,19 +70,21 @@
         ("withdrawn", "c1"),
     ):
         models = make_models(state)
-        assert session.find_lost_pin(TASK, models, pins, True) == lost
+        assert session.find_unavailable_pin(TASK, models, pins, True) == lost
     gone = {**pins, "strong": "s0"}
-    assert session.find_lost_pin(TASK, make_models(), gone, True) == "s0"
-    assert session.find_lost_pin(TASK, make_models(), {}, True) is None
+    assert (
+        session.find_unavailable_pin(TASK, make_models(), gone, True) == "s0"
+    )
+    assert session.find_unavailable_pin(TASK, make_models(), {}, True) is None
 
 
 def test_cut_off_node_ends_sessions_only_where_the_version_says_so():
     pins = {"cheap": "c1"}
     stop = make_models(when_cut_off="stop")
-    assert session.find_lost_pin(TASK, stop, pins, True) is None
-    assert session.find_lost_pin(TASK, stop, pins, False) == "c1"
+    assert session.find_unavailable_pin(TASK, stop, pins, True) is None
+    assert session.find_unavailable_pin(TASK, stop, pins, False) == "c1"
     canary = make_models("canary")
-    assert session.find_lost_pin(TASK, canary, pins, False) is None
+    assert session.find_unavailable_pin(TASK, canary, pins, False) is None
 
 
 def test_cut_off_node_starts_nothing_on_a_version_that_stops_there():
@@ -93,10 +95,12 @@
         for version in model.versions
     }
     plan = ["c1", "s1"]
-    assert session.find_frozen(plan, {}, versions, True) is None
-    assert session.find_frozen(plan, {}, versions, False) == "c1"
+    assert session.find_unstartable_version(plan, {}, versions, True) is None
+    assert session.find_unstartable_version(plan, {}, versions, False) == "c1"
     pins = {"cheap": "c1"}
-    assert session.find_frozen(plan, pins, versions, False) is None
+    assert (
+        session.find_unstartable_version(plan, pins, versions, False) is None
+    )
 
 
 def test_token_is_honoured_until_it_ends_and_only_for_its_customer():
--- a/tests/cover/test_store_polls.py
+++ b/tests/cover/test_store_polls.py
@@ -21,8 +21,8 @@
     assert noticed_ms + slow_ms <= bounds.drain_ms
     for lease_ms in range(4_000, 20_000, 500):
         usable_ms = lease_ms - board_module.LEASE_MARGIN_MS
-        poll_ms = store_polls.find_table_poll(usable_ms, bounds.apply_ms)
-        own_ms = store_polls.OWN_PART * usable_ms
+        poll_ms = store_polls.compute_table_poll_ms(usable_ms, bounds.apply_ms)
+        own_ms = store_polls.OWN_READ_PART * usable_ms
         # What a living reader tells is young enough not to be read anew.
         assert store_polls.compute_max_report_age(poll_ms) <= own_ms
         assert own_ms + slow_ms <= usable_ms
@@ -44,7 +44,7 @@
             assert known_ms <= 0.9 * bound_ms
     for heartbeat_ms in (1_000.0, 1_200.0, 2_000.0, 5_000.0):
         for drain_ms in range(1_000, 6_000, 500):
-            poll_ms = store_polls.find_registry_poll(
+            poll_ms = store_polls.compute_registry_poll_ms(
                 drain_ms, lapses.SAFE_HEARTBEATS * heartbeat_ms
             )
             gap_ms = poll_ms + store_polls.OVERDUE_MS
@@ -55,19 +55,19 @@
     """An endpoint that left just then is waited for, and gets work."""
     for drain_ms in range(1_000, 6_000, 500):
         for heartbeat_ms in (1_000.0, 1_200.0, 2_000.0, 5_000.0):
-            poll_ms = store_polls.find_registry_poll(
+            poll_ms = store_polls.compute_registry_poll_ms(
                 drain_ms, lapses.SAFE_HEARTBEATS * heartbeat_ms
             )
             proof_ms = store_polls.compute_max_report_age(poll_ms)
             read_after_ms = proof_ms - poll_ms + 100.0
             assert lapses.is_too_short(read_after_ms, heartbeat_ms)
             assert poll_ms <= store_polls.DRAIN_PART * drain_ms
-    assert store_polls.find_registry_poll(2_000, 2_100) == 1_100.0
+    assert store_polls.compute_registry_poll_ms(2_000, 2_100) == 1_100.0
 
 
 def test_reports_of_a_delegate_are_young_enough_for_short_leases():
     """An entry VM without the store turns callers away now and then."""
     for lease_ms in range(1_000, 8_000, 100):
-        poll_ms = store_polls.find_table_poll(lease_ms, 4_000.0)
+        poll_ms = store_polls.compute_table_poll_ms(lease_ms, 4_000.0)
         oldest_ms = store_polls.compute_max_report_age(poll_ms)
-        assert oldest_ms <= store_polls.OWN_PART * lease_ms + 1e-6
+        assert oldest_ms <= store_polls.OWN_READ_PART * lease_ms + 1e-6
--- a/tests/failures/test_forwarding_streams.py
+++ b/tests/failures/test_forwarding_streams.py
@@ -280,7 +280,7 @@
     placer = made.daemon.app.forwarder.placer
     for engine in engines:
         load = engine_load.Load(weight, 1)
-        engine_load.add_own(placer.reporter.loads, engine.name, load)
+        engine_load.add_own_load(placer.reporter.loads, engine.name, load)
     return placer.fleet.get_latency_model("engines")
 
 
--- a/tests/model/test_cold_starts.py
+++ b/tests/model/test_cold_starts.py
@@ -78,7 +78,7 @@
                 if self.counts_connecting:
                     cold_starts.record_sent(due[1], now_ms)
                 self.sent_ms.append(now_ms)
-            cold_starts.give_back(vm.permits, due[1])
+            cold_starts.release(vm.permits, due[1])
 
 
 def find_busiest(seed: int, vms: int, missing: str = "") -> int:
