--- a/bench/load_reports.py
+++ b/bench/load_reports.py
@@ -103,12 +103,12 @@
     """One prompt: outstanding until its head, a stream until its end."""
     engine = f"i-{draw.randrange(ENGINES):010x}"
     parts = [(draw.getrandbits(64), 4_000) for _ in range(PARTS)]
-    made.add_cached(engine, parts)
-    made.add_load(engine, engine_load.Load(8_000.0, 1))
+    made.record_cached(engine, parts)
+    made.record_load(engine, engine_load.Load(8_000.0, 1))
     await trio.sleep(HEAD_MS / 1000)
-    made.add_load(engine, engine_load.Load(-8_000.0, 0))
+    made.record_load(engine, engine_load.Load(-8_000.0, 0))
     await trio.sleep(STREAM_MS / 1000)
-    made.add_load(engine, engine_load.Load(0.0, -1))
+    made.record_load(engine, engine_load.Load(0.0, -1))
 
 
 async def count_bytes(count: int, busy: bool) -> float:
--- a/src/carawayward/forwarding/app.py
+++ b/src/carawayward/forwarding/app.py
@@ -17,7 +17,7 @@
 from carawayward.forwarding import board as board_module
 from carawayward.forwarding import exchange
 from carawayward.forwarding import facts
-from carawayward.forwarding import measures as measures_module
+from carawayward.forwarding import metrics as metrics_module
 from carawayward.forwarding import readiness as readiness_module
 from carawayward.forwarding import replies
 from carawayward.forwarding import table as table_module
@@ -96,7 +96,7 @@
     dialect: facts.Dialect
     forwarder: exchange.Forwarder
     readiness: readiness_module.Readiness
-    measures: measures_module.Measures
+    metrics: metrics_module.Metrics
 
     async def __call__(
         self, scope: dict, receive: Receive, send: Send
@@ -194,7 +194,7 @@
         return Refused(503, cause, self.readiness.compute_retry_after_ms())
 
     def _log_refusal(self, scope: dict, refusal: Refused) -> None:
-        self.measures.count("refusals", cause=refusal.cause)
+        self.metrics.count("refusals", cause=refusal.cause)
         events.log_event(
             events.Event.REQUEST_REFUSED,
             request=self.dialect.find_id(scope["headers"]),
--- a/src/carawayward/forwarding/assembly.py
+++ b/src/carawayward/forwarding/assembly.py
@@ -10,7 +10,7 @@
 from carawayward.forwarding import fleet as fleet_module
 from carawayward.forwarding import freshness as freshness_module
 from carawayward.forwarding import load_reports
-from carawayward.forwarding import measures as measures_module
+from carawayward.forwarding import metrics as metrics_module
 from carawayward.forwarding import placing
 from carawayward.forwarding import ports as ports_module
 from carawayward.forwarding import readiness as readiness_module
@@ -70,9 +70,9 @@
             board.bounds.retry_slack,
         )
 
-    measures = measures_module.Measures()
+    metrics = metrics_module.Metrics()
     placer = placing.Placer(
-        clock, fleet, rollouts, reporter, measures, make_budget
+        clock, fleet, rollouts, reporter, metrics, make_budget
     )
     return Placing(placer, reporter, freshness, rounds)
 
@@ -101,8 +101,8 @@
         relaying.Relay(placer),
         may_send,
         readiness.compute_retry_after_ms,
-        placer.measures,
+        placer.metrics,
     )
     return app_module.ForwardingApp(
-        board, clock, ports.dialect, forwarder, readiness, placer.measures
+        board, clock, ports.dialect, forwarder, readiness, placer.metrics
     )
--- a/src/carawayward/forwarding/daemon.py
+++ b/src/carawayward/forwarding/daemon.py
@@ -14,7 +14,7 @@
 from carawayward.forwarding import assembly
 from carawayward.forwarding import board as board_module
 from carawayward.forwarding import feeds as feeds_module
-from carawayward.forwarding import measures as measures_module
+from carawayward.forwarding import metrics as metrics_module
 from carawayward.forwarding import ports as ports_module
 from carawayward.forwarding import replies
 from carawayward.forwarding import settings as settings_module
@@ -91,7 +91,7 @@
             ports,
             parts.freshness,
             parts.rounds,
-            parts.placer.measures,
+            parts.placer.metrics,
         )
         return cls(
             settings=settings,
@@ -218,8 +218,10 @@
     async def _answer_metrics(
         self, scope: dict, receive: typing.Any, send: typing.Any
     ) -> None:
-        gauges = measures_module.read_gauges(self.board, self.clock.boot_ms())
-        page = measures_module.write_page(self.app.measures, gauges)
+        gauges = metrics_module.collect_gauges(
+            self.board, self.clock.boot_ms()
+        )
+        page = metrics_module.render_page(self.app.metrics, gauges)
         reply = app_module.AsgiReply(send, lambda: False)
         await replies.send_whole(reply, 200, METRICS_HEADERS, page)
 
--- a/src/carawayward/forwarding/exchange.py
+++ b/src/carawayward/forwarding/exchange.py
@@ -15,7 +15,7 @@
 from carawayward.forwarding import facts
 from carawayward.forwarding import fleet as fleet_module
 from carawayward.forwarding import hops
-from carawayward.forwarding import measures as measures_module
+from carawayward.forwarding import metrics as metrics_module
 from carawayward.forwarding import placing
 from carawayward.forwarding import relaying
 from carawayward.forwarding import replies
@@ -58,7 +58,7 @@
     relay: relaying.Relay
     may_send: typing.Callable[[work_items.Work], bool]
     compute_retry_after_ms: typing.Callable[[], float]
-    measures: measures_module.Measures
+    metrics: metrics_module.Metrics
 
     @property
     def fleet(self) -> fleet_module.Fleet:
@@ -85,7 +85,7 @@
 
     async def _run(self, work: work_items.Work, reply: replies.Reply) -> None:
         while True:
-            choice = self.rollouts.choose(work)
+            choice = self.rollouts.choose_version(work)
             place = self.placer.choose(work, choice)
             if place is None:
                 await self._give_up(work, reply, "no endpoint")
@@ -133,7 +133,7 @@
         self,
         work: work_items.Work,
         place: fleet_module.Place,
-        choice: rollout_state.Choice | None,
+        choice: rollout_state.VersionChoice | None,
         reply: replies.Reply,
     ) -> work_items.Outcome:
         """Send the request to one endpoint and pass its answer on."""
@@ -269,7 +269,7 @@
                 work.ran = True
                 work.failure = outcome
                 self.fleet.record_failure(place, outcome.cause)
-        self.measures.count("attempts", outcome=type(outcome).__name__.lower())
+        self.metrics.count("attempts", outcome=type(outcome).__name__.lower())
         events.log_event(
             events.Event.ATTEMPT_ENDED,
             request=work.facts.request_id,
@@ -332,11 +332,11 @@
 
     def _log_end(self, work: work_items.Work, status: int, cause: str) -> None:
         took_ms = self.clock.now_ms() - work.began_ms
-        self.measures.count(
+        self.metrics.count(
             "requests", route=work.route.name, status=str(status)
         )
         if 200 <= status < 300:
-            self.measures.observe("answer", took_ms, route=work.route.name)
+            self.metrics.observe("answer", took_ms, route=work.route.name)
         events.log_event(
             events.Event.REQUEST_FORWARDED,
             request=work.facts.request_id,
--- a/src/carawayward/forwarding/feeds.py
+++ b/src/carawayward/forwarding/feeds.py
@@ -13,7 +13,7 @@
 from carawayward.forwarding import declarations
 from carawayward.forwarding import feed
 from carawayward.forwarding import freshness as freshness_module
-from carawayward.forwarding import measures as measures_module
+from carawayward.forwarding import metrics as metrics_module
 from carawayward.forwarding import ports as ports_module
 from carawayward.forwarding import registry
 from carawayward.forwarding import rollout_rounds
@@ -25,7 +25,7 @@
 ENDPOINTS = "endpoints"
 STATUSES = "statuses"
 # How old what a delegate attests of the statuses may be; below the time after
-# which no session tries a new version (``rollout_state.STALE_MS``).
+# which no session tries a new version (``rollout_state.MAX_STATUS_AGE_MS``).
 STATUSES_MAX_AGE_MS = 2_800.0
 STATUSES_POLL_MS = 1_000.0
 # Polls while entries are missing wait at least so long, should the clocks of
@@ -40,7 +40,7 @@
     ports: ports_module.Ports,
     freshness: freshness_module.FreshnessController,
     rounds: rollout_rounds.RolloutRounds,
-    measures: measures_module.Measures,
+    metrics: metrics_module.Metrics,
 ) -> list[feed.TopicFeed]:
     """The feeds of routing table, endpoints and statuses of roll-outs."""
     contact = store_contact.StoreContact(clock)
@@ -50,15 +50,15 @@
         make_statuses_feed(contact, ports, freshness, rounds),
     ]
     for each in made:
-        each.count_call = functools.partial(count_call, measures, each.name)
+        each.count_call = functools.partial(count_call, metrics, each.name)
     return made
 
 
 def count_call(
-    measures: measures_module.Measures, topic: str, cause: feed.Cause
+    metrics: metrics_module.Metrics, topic: str, cause: feed.Cause
 ) -> None:
     """Count a call of the store by topic and cause."""
-    measures.count("store_calls", topic=topic, cause=cause.value)
+    metrics.count("store_calls", topic=topic, cause=cause.value)
 
 
 def make_table_feed(
--- a/src/carawayward/forwarding/freshness.py
+++ b/src/carawayward/forwarding/freshness.py
@@ -193,7 +193,7 @@
 
     def _query_delegates(self) -> None:
         before = self.choice.delegate
-        delegate = self.choice.choose(self.reporter.list_domain_peers())
+        delegate = self.choice.choose(self.reporter.list_delegate_candidates())
         if delegate != before:
             events.log_event(events.Event.DELEGATE_CHOSEN, reader=delegate)
         for peer in self.choice.list_targets(self.clock.boot_ms()):
--- a/src/carawayward/forwarding/load_report_messages.py
+++ b/src/carawayward/forwarding/load_report_messages.py
@@ -15,7 +15,7 @@
 
 VERSION = 4
 # What bytes of another program raise while they are taken apart.
-UNREADABLE = (
+DECODE_ERRORS = (
     AttributeError,
     EOFError,
     LookupError,
@@ -26,14 +26,14 @@
 
 
 def decode(data: bytes) -> list:
-    """A datagram's fields; raises one of UNREADABLE."""
+    """A datagram's fields; raises one of DECODE_ERRORS."""
     fields = cbor2.loads(data)
     if not isinstance(fields, list) or not fields:
         raise ValueError("no fields")
     return fields
 
 
-def shorten(name: str) -> int:
+def hash_name(name: str) -> int:
     """A number of 32 bits that stands for a name."""
     return placement.hash_key(name) >> 32
 
@@ -50,7 +50,7 @@
     @property
     def number(self) -> int:
         """What stands for it once it has introduced itself."""
-        return shorten(f"{self.name}/{self.incarnation}")
+        return hash_name(f"{self.name}/{self.incarnation}")
 
     def to_bytes(self) -> bytes:
         """As a record of the topic of members."""
@@ -58,12 +58,12 @@
 
     @classmethod
     def from_fields(cls, fields: typing.Iterable[object]) -> "Sender":
-        """Read the fields in their order; raises one of UNREADABLE."""
+        """Read the fields in their order; raises one of DECODE_ERRORS."""
         return cls(*(str(each) for each in fields))
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "Sender":
-        """Read a record; raises one of UNREADABLE."""
+        """Read a record; raises one of DECODE_ERRORS."""
         return cls.from_fields(cbor2.loads(data))
 
 
@@ -121,7 +121,7 @@
     def from_bytes(cls, data: bytes) -> "Message | None":
         """Read a datagram; None for another version's.
 
-        Raises one of UNREADABLE for bytes that are no message.
+        Raises one of DECODE_ERRORS for bytes that are no message.
         """
         return cls.from_fields(decode(data))
 
@@ -129,7 +129,7 @@
     def from_fields(cls, fields: list) -> "Message | None":
         """Read a datagram's decoded fields; None for another version's.
 
-        Raises one of UNREADABLE for what is no message.
+        Raises one of DECODE_ERRORS for what is no message.
         """
         if fields[0] != VERSION:
             return None
--- a/src/carawayward/forwarding/load_reports.py
+++ b/src/carawayward/forwarding/load_reports.py
@@ -22,7 +22,7 @@
 from carawayward.forwarding import board as board_module
 from carawayward.forwarding import keyed_log
 from carawayward.forwarding import load_report_messages
-from carawayward.forwarding import peer_book
+from carawayward.forwarding import peer_directory
 from carawayward.forwarding import registration as registration_module
 from carawayward.forwarding import report_channels
 from carawayward import settings as settings_module
@@ -53,7 +53,7 @@
 
 
 # Takes a peer's name and the decoded fields of its datagram; raises one of
-# ``load_report_messages.UNREADABLE`` for what cannot be read.
+# ``load_report_messages.DECODE_ERRORS`` for what cannot be read.
 Handler = typing.Callable[[str, list], None]
 
 
@@ -67,7 +67,7 @@
     address: str
     loads: engine_load.EngineLoads
     memory_tokens: typing.Callable[[str], int]
-    book: peer_book.PeerBook = attrs.field(init=False)
+    directory: peer_directory.PeerDirectory = attrs.field(init=False)
     registration: registration_module.Registration = attrs.field(init=False)
     engine_names: dict[int, str] = attrs.field(factory=dict)
     generation: int = -1
@@ -82,7 +82,7 @@
     _sender: socket.socket | None = None
 
     def __attrs_post_init__(self) -> None:
-        self.book = peer_book.PeerBook(
+        self.directory = peer_directory.PeerDirectory(
             load_report_messages.Sender(
                 self.board.name,
                 self.board.incarnation,
@@ -93,13 +93,13 @@
         self.registration = registration_module.Registration(
             self.members,
             self.clock,
-            keyed_log.Record(self.board.name, self.book.own.to_bytes()),
+            keyed_log.Record(self.board.name, self.directory.own.to_bytes()),
         )
 
     @property
     def peers(self) -> dict[str, report_channels.Peer]:
         """The other entry VMs that are known, by name."""
-        return self.book.peers
+        return self.directory.peers
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Begin to listen and to report."""
@@ -141,7 +141,7 @@
             # that was lost on its way, which the sender makes good.
             return
 
-    def list_domain_peers(self) -> list[str]:
+    def list_delegate_candidates(self) -> list[str]:
         """Peers of this failure domain that say that they reach the store.
 
         However long ago they said so: with many peers their reports come
@@ -163,9 +163,11 @@
         """The entry VMs of a failure domain, or all; None before joining."""
         if not self.joined.is_set():
             return None
-        return self.book.list_domain(failure_domain) or self.list_members()
+        return (
+            self.directory.list_domain(failure_domain) or self.list_members()
+        )
 
-    def add_load(self, engine: str, change: engine_load.Load) -> None:
+    def record_load(self, engine: str, change: engine_load.Load) -> None:
         """Record a change of the own outstanding work, and report it.
 
         The end of a stream alone changes little for others, and goes out with
@@ -179,7 +181,7 @@
         for channel in self.channels:
             channel.changed.set()
 
-    def add_cached(
+    def record_cached(
         self, engine: str, parts: typing.Iterable[tuple[int, int]]
     ) -> None:
         """Record what an engine will have read, and report it."""
@@ -187,7 +189,7 @@
         engine_load.record_cached(
             self.loads, engine, parts, self.memory_tokens(engine)
         )
-        number = load_report_messages.shorten(engine)
+        number = load_report_messages.hash_name(engine)
         cached = [
             load_report_messages.CachedPart(number, key, tokens)
             for key, tokens in parts
@@ -196,11 +198,11 @@
             channel.add_parts(cached)
         self._wake()
 
-    def count_known(self) -> int:
+    def count_members(self) -> int:
         """Entry VMs that are known, this one among them."""
         return 1 + len(self.peers)
 
-    def count_stale(self) -> tuple[int, int]:
+    def count_stale_peers(self) -> tuple[int, int]:
         """Other entry VMs known, and those that said lately they are stale."""
         now_ms = self.clock.now_ms()
         stale = sum(
@@ -250,7 +252,7 @@
             self._add_peer(
                 load_report_messages.Sender.from_bytes(record.value or b"")
             )
-        except load_report_messages.UNREADABLE as fault:
+        except load_report_messages.DECODE_ERRORS as fault:
             events.log_event(
                 events.Event.ENTRY_UNREADABLE,
                 key=record.key,
@@ -259,7 +261,7 @@
             )
 
     def _add_peer(self, sender: load_report_messages.Sender) -> None:
-        if self.book.add(sender, self.clock.now_ms()):
+        if self.directory.add(sender, self.clock.now_ms()):
             for channel in self.channels:
                 channel.introduced_ms = board_module.NEVER
 
@@ -268,7 +270,7 @@
     ) -> report_channels.Peer | None:
         """The peer that a datagram is from; None until it says its name."""
         if isinstance(sender, int):
-            return self.book.get_by_number(sender)
+            return self.directory.get_by_number(sender)
         self._add_peer(sender)
         return self.peers.get(sender.name)
 
@@ -283,7 +285,7 @@
 
     def _send_next(self, channel: report_channels.Channel) -> int:
         """Send one datagram to the peers whose turn it is; return bytes."""
-        self.book.remove_silent(self.clock.now_ms())
+        self.directory.remove_silent(self.clock.now_ms())
         peers = channel.choose_peers(self.peers.values())
         if not peers:
             return 0
@@ -297,7 +299,7 @@
         heaviest = sorted(
             self.loads.own.items(), key=lambda item: -item[1].weight
         )
-        sender = self.book.own
+        sender = self.directory.own
         introduces = channel.introduces(self.clock.now_ms())
         message = load_report_messages.Message(
             sender=sender if introduces else sender.number,
@@ -305,7 +307,7 @@
             stale=self.board.store_failing
             or not self.board.is_fresh(self.clock.boot_ms()),
             loads={
-                load_report_messages.shorten(engine): load
+                load_report_messages.hash_name(engine): load
                 for engine, load in heaviest[:MAX_ENGINES]
             },
             parts=channel.take_parts(),
@@ -340,10 +342,10 @@
             if handler is None:
                 self._on_report(fields)
                 return
-            peer = self.book.addresses.get(address) if address else None
+            peer = self.directory.addresses.get(address) if address else None
             if peer is not None:
                 handler(peer, fields)
-        except load_report_messages.UNREADABLE as fault:
+        except load_report_messages.DECODE_ERRORS as fault:
             events.log_event(
                 events.Event.PEER_REFUSED, fault=type(fault).__name__
             )
@@ -394,7 +396,7 @@
         if self.generation != self.board.generation:
             self.generation = self.board.generation
             self.engine_names = {
-                load_report_messages.shorten(name): name
+                load_report_messages.hash_name(name): name
                 for name in self.board.endpoints
             }
         return self.engine_names
--- a/src/carawayward/forwarding/measures.py
+++ b/src/carawayward/forwarding/metrics.py
@@ -17,8 +17,8 @@
 QUANTILES = (50.0, 90.0, 99.0)
 # Names come from routes, models and causes; whatever is past these bounds is
 # counted under ``other``, so that many routes cannot use up the memory.
-MOST_HISTOGRAMS = 40
-MOST_COUNTERS = 400
+MAX_HISTOGRAMS = 40
+MAX_COUNTERS = 400
 OTHER = "other"
 PREFIX = "carawayward_"
 
@@ -27,7 +27,7 @@
 
 
 @attrs.define
-class Measures:
+class Metrics:
     """Counters and latencies since the process started."""
 
     counters: dict[Series, float] = attrs.field(factory=dict)
@@ -36,7 +36,7 @@
     def count(self, name: str, **labels: str) -> None:
         """Add one to a counter."""
         series = (name, tuple(sorted(labels.items())))
-        if series not in self.counters and len(self.counters) >= MOST_COUNTERS:
+        if series not in self.counters and len(self.counters) >= MAX_COUNTERS:
             series = (name, (("label", OTHER),))
         self.counters[series] = self.counters.get(series, 0.0) + 1.0
 
@@ -45,7 +45,7 @@
         series = (name, tuple(sorted(labels.items())))
         found = self.latencies.get(series)
         if found is None:
-            if len(self.latencies) >= MOST_HISTOGRAMS:
+            if len(self.latencies) >= MAX_HISTOGRAMS:
                 series = (name, (("label", OTHER),))
             found = self.latencies.setdefault(
                 series,
@@ -54,7 +54,7 @@
         found.record_value(min(max(1, round(value_ms)), HIGHEST_MS))
 
 
-def read_gauges(
+def collect_gauges(
     board: board_module.ForwardingBoard, boot_ms: float
 ) -> dict[str, float]:
     """Figures that rise and fall."""
@@ -71,15 +71,13 @@
     return gauges
 
 
-def write_page(
-    measures: Measures, gauges: typing.Mapping[str, float]
-) -> bytes:
+def render_page(metrics: Metrics, gauges: typing.Mapping[str, float]) -> bytes:
     """All figures as text."""
     lines = [f"{PREFIX}{name} {value:g}" for name, value in gauges.items()]
-    for (name, labels), total in sorted(measures.counters.items()):
+    for (name, labels), total in sorted(metrics.counters.items()):
         lines.append(f"{PREFIX}{name}_total{_join(labels)} {total:g}")
     for (name, labels), histogram in sorted(
-        measures.latencies.items(), key=lambda item: item[0]
+        metrics.latencies.items(), key=lambda item: item[0]
     ):
         for quantile in QUANTILES:
             marked = (*labels, ("quantile", f"{quantile / 100:g}"))
--- a/src/carawayward/forwarding/peer_book.py
+++ b/src/carawayward/forwarding/peer_directory.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define
-class PeerBook:
+class PeerDirectory:
     """Peers by name, by the number of their start, and by address.
 
     ``own`` is this entry VM, which is no peer of itself.
--- a/src/carawayward/forwarding/placing.py
+++ b/src/carawayward/forwarding/placing.py
@@ -13,7 +13,7 @@
 from carawayward.forwarding import facts
 from carawayward.forwarding import fleet as fleet_module
 from carawayward.forwarding import load_reports
-from carawayward.forwarding import measures as measures_module
+from carawayward.forwarding import metrics as metrics_module
 from carawayward.forwarding import rollout_state
 from carawayward.forwarding import rollouts as rollouts_module
 from carawayward.forwarding import work_items
@@ -31,7 +31,7 @@
     fleet: fleet_module.Fleet
     rollouts: rollouts_module.Rollouts
     reporter: load_reports.LoadReporter
-    measures: measures_module.Measures
+    metrics: metrics_module.Metrics
     make_budget: typing.Callable[[], retry_budget.RetryBudget]
     budgets: dict[str, retry_budget.RetryBudget] = attrs.field(factory=dict)
 
@@ -40,7 +40,7 @@
         budget = self.budgets.get(service)
         if budget is None:
             budget = self.budgets[service] = self.make_budget()
-        budget.vms = self.reporter.count_known()
+        budget.vms = self.reporter.count_members()
         return budget
 
     def choose_model(self, work: work_items.Work) -> None:
@@ -72,7 +72,7 @@
             return escalation.Overload()
         closed = self.fleet.cold_starts.list_closed()
         excluded = work.useless | closed | self.fleet.list_quarantined()
-        for want in self._list_wants(work, self.rollouts.choose(work)):
+        for want in self._list_wants(work, self.rollouts.choose_version(work)):
             pool = self.fleet.find_pool(want)
             engine = self._choose_engine(work, pool, prompt, excluded)
             if engine is None:
@@ -88,7 +88,7 @@
         return escalation.Overload(behind=1.0)
 
     def choose(
-        self, work: work_items.Work, choice: rollout_state.Choice | None
+        self, work: work_items.Work, choice: rollout_state.VersionChoice | None
     ) -> fleet_module.Place | None:
         """Choose an endpoint: of the version wanted, else of the other."""
         wants = self._list_wants(work, choice)
@@ -132,7 +132,7 @@
         return self.fleet.choose_engine(pool, prompt, excluded, remote_weight)
 
     def _list_wants(
-        self, work: work_items.Work, choice: rollout_state.Choice | None
+        self, work: work_items.Work, choice: rollout_state.VersionChoice | None
     ) -> list[fleet_module.Want]:
         if choice is None:
             return [fleet_module.Want(work.service)]
@@ -142,7 +142,7 @@
         if not choice.new:
             return [old] if choice.strict else [old, new]
         count = len(self.fleet.find_pool(new).views)
-        most = self.rollouts.count_endpoints(choice, count)
+        most = self.rollouts.limit_endpoints(choice, count)
         return [attrs.evolve(new, most=most), old]
 
     def begin_reading(
@@ -156,7 +156,7 @@
                 self.reporter.loads, place.entry.name, prompt
             )
             reading.weight = unread * prompt.model_weight
-            self.reporter.add_cached(place.entry.name, prompt.parts[:-1])
+            self.reporter.record_cached(place.entry.name, prompt.parts[:-1])
         work.reading = reading if prompt is not None else None
         reading.begin()
         return reading
@@ -196,7 +196,7 @@
             # however slow it is.
             model = self.fleet.get_latency_model(work.service)
             engine_load.observe_ttft(model, work.backlog, took_ms)
-        self.measures.observe("head", took_ms, model=work.model_name)
+        self.metrics.observe("head", took_ms, model=work.model_name)
 
     def find_larger(self, work: work_items.Work) -> int | None:
         """The model to ask instead, before anything reached the caller."""
--- a/src/carawayward/forwarding/readiness.py
+++ b/src/carawayward/forwarding/readiness.py
@@ -51,5 +51,5 @@
         return self.board.store_failing or not self.is_fresh()
 
     def _others_may_serve(self) -> bool:
-        known, stale = self.reporter.count_stale()
+        known, stale = self.reporter.count_stale_peers()
         return redirection.others_may_serve(known, stale)
--- a/src/carawayward/forwarding/rollout_rounds.py
+++ b/src/carawayward/forwarding/rollout_rounds.py
@@ -118,7 +118,7 @@
 
     async def _watch(self) -> None:
         while True:
-            self.rollouts.take_orders()
+            self.rollouts.apply_orders()
             for rollout in list(self.rollouts.rollouts.values()):
                 if rollout.running or self.restoring:
                     await self._step(rollout)
@@ -247,7 +247,7 @@
     def _refresh(self, rollout: rollout_state.Rollout) -> None:
         """Note when the statuses were last known to be the newest."""
         age_ms = self.clock.boot_ms() - self.as_of_ms
-        if age_ms < rollout_state.STALE_MS:
+        if age_ms < rollout_state.MAX_STATUS_AGE_MS:
             rollout.known = True
             read_ms = self.clock.now_ms() - age_ms
             rollout.read_ms = max(rollout.read_ms, read_ms)
--- a/src/carawayward/forwarding/rollout_state.py
+++ b/src/carawayward/forwarding/rollout_state.py
@@ -16,11 +16,11 @@
 
 # Without reports for this long an entry VM may have missed a halt: it lets no
 # session try the new version until it reads the store again.
-STALE_MS = 3_500.0
+MAX_STATUS_AGE_MS = 3_500.0
 
 
 @attrs.frozen
-class Choice:
+class VersionChoice:
     """The version that a request goes to.
 
     ``new`` says whether it is the one that the roll-out brings in; with
--- a/src/carawayward/forwarding/rollouts.py
+++ b/src/carawayward/forwarding/rollouts.py
@@ -38,23 +38,25 @@
             self.clock, lambda: self.board.bounds.session_ms
         )
 
-    def choose(self, work: work_items.Work) -> rollout_state.Choice | None:
+    def choose_version(
+        self, work: work_items.Work
+    ) -> rollout_state.VersionChoice | None:
         """The version for a request; None where no roll-out was ordered."""
-        self.take_orders()
+        self.apply_orders()
         service, session = work.service, work.facts.session
         rollout = self.rollouts.get(service)
         if rollout is None:
             self.sessions.remember(service, session, "")
             return None
         if rollout.state is facts.RolloutState.COMPLETED:
-            return rollout_state.Choice(rollout, new=True, strict=False)
+            return rollout_state.VersionChoice(rollout, new=True, strict=False)
         if rollout.state is facts.RolloutState.ROLLED_BACK:
-            return rollout_state.Choice(rollout, new=False, strict=True)
+            return rollout_state.VersionChoice(rollout, new=False, strict=True)
         new = self._takes_new(rollout, session, work.facts.request_id)
         version = rollout.order.version if new else ""
         self.sessions.remember(service, session, version)
         bad = rollout.verdict is canary.Verdict.BAD
-        return rollout_state.Choice(
+        return rollout_state.VersionChoice(
             rollout, new=new, strict=bad or not rollout.known
         )
 
@@ -88,7 +90,7 @@
         if not rollout.known:
             return 0.0
         if (
-            now_ms - rollout.read_ms > rollout_state.STALE_MS
+            now_ms - rollout.read_ms > rollout_state.MAX_STATUS_AGE_MS
             and not rollout.opened
         ):
             return 0.0
@@ -104,8 +106,8 @@
         rollout.opened = share >= 1.0
         return share
 
-    def count_endpoints(
-        self, choice: rollout_state.Choice, endpoints: int
+    def limit_endpoints(
+        self, choice: rollout_state.VersionChoice, endpoints: int
     ) -> int:
         """On how many of the chosen version's endpoints the work goes."""
         if not choice.new or not choice.rollout.running:
@@ -124,7 +126,7 @@
 
     def begin(
         self,
-        choice: rollout_state.Choice | None,
+        choice: rollout_state.VersionChoice | None,
         work: work_items.Work,
         version: str,
     ) -> rollout_state.Run | None:
@@ -240,7 +242,7 @@
         if verdict is not rollout.verdict:
             self._take_verdict(rollout, verdict)
 
-    def take_orders(self) -> None:
+    def apply_orders(self) -> None:
         """Begin what operators have ordered since the last call."""
         for service, order in self.board.orders.items():
             known = self.rollouts.get(service)
--- a/src/carawayward/forwarding/work_items.py
+++ b/src/carawayward/forwarding/work_items.py
@@ -76,19 +76,19 @@
     def begin(self) -> None:
         """The prompt goes to its engine."""
         load = engine_load.Load(self.weight, 1)
-        self.reporter.add_load(self.engine, load)
+        self.reporter.record_load(self.engine, load)
 
     def observe_ttft(self) -> None:
         """The prompt has been read; the answer comes."""
         if self.weight:
             load = engine_load.Load(-self.weight, 0)
-            self.reporter.add_load(self.engine, load)
+            self.reporter.record_load(self.engine, load)
             self.weight = 0.0
 
     def end(self) -> None:
         """The run is over."""
         load = engine_load.Load(-self.weight, -1)
-        self.reporter.add_load(self.engine, load)
+        self.reporter.record_load(self.engine, load)
         self.weight = 0.0
 
 
@@ -169,7 +169,10 @@
     weight = costs.get(model, 1.0) / max(costs.values(), default=1.0)
     return engine_load.Prompt(
         parts=tuple(
-            (load_report_messages.shorten(f"{model}/{part.name}"), part.tokens)
+            (
+                load_report_messages.hash_name(f"{model}/{part.name}"),
+                part.tokens,
+            )
             for part in work.facts.prompt
         ),
         model_weight=weight,
--- a/src/carawayward/platform/records.py
+++ b/src/carawayward/platform/records.py
@@ -31,7 +31,7 @@
 STATES = {"ready": False, "draining": True}
 
 # What a record that cannot be read raises while it is taken apart.
-UNREADABLE = (KeyError, TypeError, ValueError, AttributeError)
+DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
 
 
 def decode_declaration(
@@ -51,7 +51,7 @@
             return read_table(body)
         if record.key.startswith(ROLLOUT_PREFIX):
             return read_order(body)
-    except (*UNREADABLE, errors.DeclarationError) as fault:
+    except (*DECODE_ERRORS, errors.DeclarationError) as fault:
         _log_unreadable(record, fault)
     return None
 
@@ -76,7 +76,7 @@
         if not host or not 0 < int(port) < 65536:
             raise ValueError("no address")
         return entry
-    except UNREADABLE as fault:
+    except DECODE_ERRORS as fault:
         _log_unreadable(record, fault)
         return None
 
@@ -171,7 +171,7 @@
         body = json.loads(record.value)
         state = ROLLOUT_STATES[body["state"]]
         return facts.RolloutStatus(service, body["target"], state)
-    except UNREADABLE as fault:
+    except DECODE_ERRORS as fault:
         _log_unreadable(record, fault)
         return None
 
--- a/tests/common/forwarding.py
+++ b/tests/common/forwarding.py
@@ -135,7 +135,7 @@
         """A controller of an entry VM, in the order of their start."""
         return self.daemons[daemon].controllers[index]
 
-    def find_hints(self) -> load_reports.LoadReporter:
+    def get_reporter(self) -> load_reports.LoadReporter:
         """What the first entry VM tells the others, and has been told."""
         return self.daemon.app.readiness.reporter
 
@@ -188,7 +188,7 @@
             response.content,
         )
 
-    async def ask_engine(self, daemon: int = 0, **headers: str) -> Answer:
+    async def request_stream(self, daemon: int = 0, **headers: str) -> Answer:
         """Ask for a stream and leave the model to the system."""
         wanted = {
             "carawayward_model": "*",
@@ -205,7 +205,7 @@
             while not condition():
                 await trio.sleep(0.005)
 
-    async def ask_ready(self, daemon: int) -> int:
+    async def check_readiness(self, daemon: int) -> int:
         """Ask as the balancer does."""
         address = self.daemons[daemon].settings.listen.readiness
         async with httpcore.AsyncConnectionPool() as pool:
--- a/tests/common/store_drill.py
+++ b/tests/common/store_drill.py
@@ -58,7 +58,7 @@
     """Calls of all entry VMs to the store, by cause."""
     found: collections.Counter = collections.Counter()
     for each in made.daemons:
-        for (name, labels), total in each.app.measures.counters.items():
+        for (name, labels), total in each.app.metrics.counters.items():
             if name == "store_calls":
                 found[dict(labels)["cause"]] += round(total)
     return found
@@ -110,9 +110,9 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(send_forever, made, outcome)
             for _ in range(plan.returns):
-                made.store.refusing = 503
+                made.store.error_status = 503
                 await trio.sleep(plan.away_s)
-                made.store.refusing = 0
+                made.store.error_status = 0
                 made.store.restore_copy()
             await trio.sleep(plan.written_s)
             write_lost(made, left)
--- a/tests/cover/test_delegate_failures.py
+++ b/tests/cover/test_delegate_failures.py
@@ -88,7 +88,7 @@
         event.set()
         return event
 
-    def list_domain_peers(self):
+    def list_delegate_candidates(self):
         return [name for name in self.network.nodes if name != self.name]
 
     def add_handler(self, kind, handler):
--- a/tests/cover/test_forwarding_delegates.py
+++ b/tests/cover/test_forwarding_delegates.py
@@ -17,7 +17,7 @@
 from carawayward.forwarding import freshness
 from carawayward.forwarding import keyed_log
 from carawayward.forwarding import load_report_messages
-from carawayward.forwarding import measures
+from carawayward.forwarding import metrics
 from carawayward.forwarding import settings
 from carawayward.forwarding import table
 from carawayward.platform import store
@@ -92,7 +92,7 @@
         event.set()
         return event
 
-    def list_domain_peers(self):
+    def list_delegate_candidates(self):
         return [name for name in NAMES if name != self.name]
 
     def add_handler(self, kind, handler):
@@ -157,7 +157,7 @@
         begin_listing=None,
     )
     feeds = feeds_module.make_feeds(
-        own, board, clock, ports, exchanged, rounds, measures.Measures()
+        own, board, clock, ports, exchanged, rounds, metrics.Metrics()
     )
     return board, [*feeds, exchanged]
 
--- a/tests/cover/test_forwarding_freshness.py
+++ b/tests/cover/test_forwarding_freshness.py
@@ -31,7 +31,7 @@
     sent: list[tuple[str, bytes]] = attrs.field(factory=list)
     handlers: dict = attrs.field(factory=dict)
 
-    def list_domain_peers(self):
+    def list_delegate_candidates(self):
         return self.near
 
     def add_handler(self, kind, handler):
@@ -220,7 +220,7 @@
     ):
         try:
             deliver(asker, reader.board.name, cbor2.dumps(fields))
-        except load_report_messages.UNREADABLE:
+        except load_report_messages.DECODE_ERRORS:
             continue
         raise AssertionError(fields)
     assert not topic.taken
@@ -263,7 +263,7 @@
         service="desk", version="v2", duration_ms=60_000.0
     )
     chosen = rollouts.Rollouts(board, clock)
-    chosen.take_orders()
+    chosen.apply_orders()
     made = rollout_rounds.RolloutRounds(
         board,
         clock,
@@ -527,7 +527,7 @@
     try:
         for fields in chunks:
             deliver(client, delegate.board.name, cbor2.dumps(fields))
-    except load_report_messages.UNREADABLE:
+    except load_report_messages.DECODE_ERRORS:
         assert mine.position == 0
         return
     raise AssertionError("a damaged table was taken")
--- a/tests/cover/test_forwarding_load_reports.py
+++ b/tests/cover/test_forwarding_load_reports.py
@@ -104,8 +104,8 @@
     other.add_topic(
         "news", load_reports.Topic(dict, lambda t, v, ttl: told.append(v))
     )
-    one.add_load("engine", engine_load.Load(5_000.0, 1))
-    one.add_cached("engine", [(1, 800)])
+    one.record_load("engine", engine_load.Load(5_000.0, 1))
+    one.record_cached("engine", [(1, 800)])
     other._take(write_datagram(one))
     assert other.loads.peers["vm-0"].loads["engine"].weight == 5_000.0
     assert other.loads.cached["engine"].parts == {1: 800}
@@ -116,9 +116,9 @@
     """The network delivers an old word after a newer one."""
     one, other = (make_controller(f"vm-{n}", Members()) for n in range(2))
     other._take(write_datagram(one))
-    one.add_load("engine", engine_load.Load(5_000.0, 1))
+    one.record_load("engine", engine_load.Load(5_000.0, 1))
     old = write_datagram(one)
-    one.add_load("engine", engine_load.Load(-5_000.0, -1))
+    one.record_load("engine", engine_load.Load(-5_000.0, -1))
     other._take(write_datagram(one))
     other._take(old)
     assert not other.loads.peers["vm-0"].loads
@@ -130,7 +130,7 @@
     for _ in range(9):
         other._take(write_datagram(one))
     again = make_controller("vm-0", Members())
-    again.add_load("engine", engine_load.Load(100.0, 1))
+    again.record_load("engine", engine_load.Load(100.0, 1))
     other._take(write_datagram(again))
     assert other.loads.peers["vm-0"].loads["engine"].streams == 1
 
@@ -141,7 +141,7 @@
     Nothing is made of it until it gives its name, a second later at the most.
     """
     one, other = (make_controller(f"vm-{n}", Members()) for n in range(2))
-    one.add_load("engine", engine_load.Load(100.0, 1))
+    one.record_load("engine", engine_load.Load(100.0, 1))
     write_datagram(one)
     other._take(write_datagram(one))
     assert not other.peers
@@ -163,7 +163,7 @@
     again = make_controller("vm-0", Members())
     other._take(write(again))
     other._take(late)
-    again.add_load("engine", engine_load.Load(100.0, 1))
+    again.record_load("engine", engine_load.Load(100.0, 1))
     other._take(write_datagram(again))
     assert other.loads.peers["vm-0"].loads["engine"].streams == 1
 
@@ -171,8 +171,8 @@
 def test_engine_that_is_not_listed_here_is_left_out():
     """A peer has read of a new engine in the registry, this one has not."""
     one, other = (make_controller(f"vm-{n}", Members()) for n in range(2))
-    one.add_load("engine-9", engine_load.Load(100.0, 1))
-    one.add_cached("engine-9", [(1, 800)])
+    one.record_load("engine-9", engine_load.Load(100.0, 1))
+    one.record_cached("engine-9", [(1, 800)])
     other._take(write_datagram(one))
     assert not other.loads.peers["vm-0"].loads
     assert not other.loads.cached
@@ -203,8 +203,10 @@
     now_ms, sent_bytes = 0.0, 0
     while now_ms < seconds * 1000:
         for number in range(int(now_ms / 100), int(now_ms / 100) + 3):
-            made.add_cached(f"engine-{number % 6}", [(number, 5_000)])
-            made.add_load(f"engine-{number % 6}", engine_load.Load(5_000.0, 1))
+            made.record_cached(f"engine-{number % 6}", [(number, 5_000)])
+            made.record_load(
+                f"engine-{number % 6}", engine_load.Load(5_000.0, 1)
+            )
         told = channel.choose_peers(made.peers.values())
         size = len(made._write(channel)) * len(told)
         sent_bytes += size
@@ -283,14 +285,14 @@
     """Reports take up what an entry VM may spend on control."""
     made = make_controller("vm-0", Members())
     changed = [channel.changed for channel in made.channels]
-    made.add_load("engine", engine_load.Load(5_000.0, 1))
+    made.record_load("engine", engine_load.Load(5_000.0, 1))
     assert all(event.is_set() for event in changed)
     for channel in made.channels:
         channel.changed = trio.Event()
-    made.add_load("engine", engine_load.Load(-5_000.0, 0))
+    made.record_load("engine", engine_load.Load(-5_000.0, 0))
     assert all(channel.changed.is_set() for channel in made.channels)
     for channel in made.channels:
         channel.changed = trio.Event()
-    made.add_load("engine", engine_load.Load(0.0, -1))
+    made.record_load("engine", engine_load.Load(0.0, -1))
     assert not any(channel.changed.is_set() for channel in made.channels)
     assert not made.loads.own
--- a/tests/cover/test_forwarding_platform.py
+++ b/tests/cover/test_forwarding_platform.py
@@ -13,7 +13,7 @@
 from carawayward.forwarding import event_stream
 from carawayward.forwarding import facts
 from carawayward.forwarding import keyed_log
-from carawayward.forwarding import measures
+from carawayward.forwarding import metrics
 from carawayward.forwarding import settings
 from carawayward.forwarding import table
 from carawayward.platform import headers
@@ -326,13 +326,13 @@
 
 def test_names_on_the_metrics_page_are_bounded():
     """A configuration brings hundreds of routes; memory stays bounded."""
-    made = measures.Measures()
-    for number in range(2 * measures.MOST_COUNTERS):
+    made = metrics.Metrics()
+    for number in range(2 * metrics.MAX_COUNTERS):
         made.count("requests", route=f"r-{number}", status="200")
         made.observe("answer", 12.0, route=f"r-{number}")
-    assert len(made.counters) == measures.MOST_COUNTERS + 1
-    assert len(made.latencies) <= measures.MOST_HISTOGRAMS + 1
-    page = measures.write_page(made, {"ready": 1.0}).decode()
+    assert len(made.counters) == metrics.MAX_COUNTERS + 1
+    assert len(made.latencies) <= metrics.MAX_HISTOGRAMS + 1
+    page = metrics.render_page(made, {"ready": 1.0}).decode()
     assert 'carawayward_answer_ms{route="r-1",quantile="0.99"} 12' in page
     assert "carawayward_ready 1" in page
 
@@ -351,9 +351,9 @@
                 answer = await made.call("GET", "/look/", connection="close")
                 assert answer.status == 200
             wanted = 'carawayward_requests_total{route="look",status="200"} 3'
-            found = made.daemon.app.measures
+            found = made.daemon.app.metrics
             await made.wait_for(
-                lambda: wanted in measures.write_page(found, {}).decode()
+                lambda: wanted in metrics.render_page(found, {}).decode()
             )
 
     trio.run(main)
@@ -365,9 +365,9 @@
     async def main():
         desk = backend.Backend("desk-0")
         async with forwarding.open_forwarding(desk) as made:
-            page = measures.write_page(
-                made.daemon.app.measures,
-                measures.read_gauges(
+            page = metrics.render_page(
+                made.daemon.app.metrics,
+                metrics.collect_gauges(
                     made.daemon.board, made.daemon.clock.boot_ms()
                 ),
             )
--- a/tests/cover/test_forwarding_versions.py
+++ b/tests/cover/test_forwarding_versions.py
@@ -250,7 +250,7 @@
     board.orders["desk"] = facts.RolloutOrder(
         service="desk", version="v2", duration_ms=duration_ms
     )
-    rollouts.take_orders()
+    rollouts.apply_orders()
     return rollouts, rollouts.rollouts["desk"]
 
 
--- a/tests/demo_forwarded.py
+++ b/tests/demo_forwarded.py
@@ -58,7 +58,7 @@
     daemon = draw.randrange(ENTRY_VMS)
     kind = draw.choice(["look-up", "log", "stream"])
     if kind == "stream":
-        answer = await made.ask_engine(daemon)
+        answer = await made.request_stream(daemon)
         numbers = forwarding.read_numbers(answer.body)
         whole = numbers == list(range(1, EVENTS + 1))
     else:
--- a/tests/failures/test_forwarding_delegates.py
+++ b/tests/failures/test_forwarding_delegates.py
@@ -103,7 +103,7 @@
             feed = made.find_controller(TABLE, cut)
             feed.topic = CutTopic()
             await trio.sleep(2.0 * lease_ms / 1000)
-            assert await made.ask_ready(cut) == 200
+            assert await made.check_readiness(cut) == 200
             assert (await made.call("GET", "/look/", daemon=cut)).status == 200
             config = forwarding.make_config(2)
             config["tenants"][0]["apiKeys"] = []
--- a/tests/failures/test_forwarding_deployments.py
+++ b/tests/failures/test_forwarding_deployments.py
@@ -166,7 +166,7 @@
             for path in row.calls:
                 headers = {"session": f"s-{number}", **row.headers}
                 if path.startswith("/tip"):
-                    answer = await made.ask_engine(**headers)
+                    answer = await made.request_stream(**headers)
                 else:
                     answer = await made.call("GET", path, **headers)
                 assert answer.status == 200, (path, answer)
--- a/tests/failures/test_forwarding_outage.py
+++ b/tests/failures/test_forwarding_outage.py
@@ -22,8 +22,8 @@
     This is the worst moment: the entry VM waits for an answer to that call,
     which does not come, for as long as it waits for any.
     """
-    made.store.held.clear()
-    await made.wait_for(lambda: topic in made.store.held)
+    made.store.unanswered.clear()
+    await made.wait_for(lambda: topic in made.store.unanswered)
     made.store.silent = False
     return trio.current_time()
 
--- a/tests/failures/test_forwarding_plain.py
+++ b/tests/failures/test_forwarding_plain.py
@@ -306,7 +306,7 @@
             for _ in range(20):
                 answer = await made.call("POST", "/log/")
                 assert answer.status == 200
-            counters = made.daemon.app.measures.counters
+            counters = made.daemon.app.metrics.counters
             tried = sum(
                 count
                 for (name, labels), count in counters.items()
--- a/tests/failures/test_forwarding_rollouts.py
+++ b/tests/failures/test_forwarding_rollouts.py
@@ -145,7 +145,7 @@
             async with trio.open_nursery() as nursery:
                 while trio.current_time() - began < 6.0:
                     for _ in range(4):
-                        nursery.start_soon(made.ask_engine)
+                        nursery.start_soon(made.request_stream)
                     await trio.sleep(0.05)
                     newest = made.store.topic("keyed.status").newest
                     if "rollout/engines" not in newest:
--- a/tests/failures/test_forwarding_store.py
+++ b/tests/failures/test_forwarding_store.py
@@ -31,14 +31,14 @@
             made.store.topics["keyed.op"].newest.clear()
             await made.start_daemon_unready()
             answer = await made.call("GET", "/look/", daemon=1)
-            ready = await made.ask_ready(1)
+            ready = await made.check_readiness(1)
             assert (answer.status, ready) == (503, 503)
             assert float(answer.headers["retry-after"]) > 0
             made.store.put("keyed.op", "config", forwarding.make_config(2))
             await made.wait_for(
                 lambda: made.daemons[1].board.state.value == "ready"
             )
-            assert await made.ask_ready(1) == 200
+            assert await made.check_readiness(1) == 200
             answer = await made.call("GET", "/look/", daemon=1)
             assert answer.status == 200
 
@@ -104,23 +104,23 @@
             desk, key_lease_ms=1_600
         ) as made:
             board, clock = made.daemon.board, made.daemon.clock
-            peers = made.find_hints().peers
+            peers = made.get_reporter().peers
             for name in ("vm-b", "vm-c"):
                 peers[name] = make_peer(name, clock.now_ms())
-            assert await made.ask_ready(0) == 200
+            assert await made.check_readiness(0) == 200
             made.store.silent = True
             await made.wait_for(lambda: not board.is_fresh(clock.boot_ms()))
             answer = await made.call("GET", "/look/")
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) < 0.1
             assert answer.headers["connection"] == "close"
-            assert await made.ask_ready(0) == 503
+            assert await made.check_readiness(0) == 503
             for peer in peers.values():
                 peer.last_seen_ms, peer.stale = clock.now_ms(), True
             answer = await made.call("GET", "/look/")
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) >= 1.0
-            assert await made.ask_ready(0) == 200
+            assert await made.check_readiness(0) == 200
 
     trio.run(main)
 
@@ -139,18 +139,18 @@
             desk, key_lease_ms=8_000
         ) as made:
             board, clock = made.daemon.board, made.daemon.clock
-            peers = made.find_hints().peers
+            peers = made.get_reporter().peers
             peers["vm-b"] = make_peer("vm-b", clock.now_ms())
             made.store.silent = True
             await made.wait_for(lambda: board.store_failing)
             assert board.is_fresh(clock.boot_ms())
-            assert await made.ask_ready(0) == 503
+            assert await made.check_readiness(0) == 503
             answer = await made.call("GET", "/look/")
             assert answer.status == 200
             assert answer.headers["connection"] == "close"
             made.store.silent = False
             await made.wait_for(lambda: not board.store_failing)
-            assert await made.ask_ready(0) == 200
+            assert await made.check_readiness(0) == 200
 
     trio.run(main)
 
@@ -171,7 +171,7 @@
             assert float(answer.headers["retry-after"]) >= 1.0
             assert not any(desk.runs for desk in desks)
             assert not forwarder.fleet.list_quarantined()
-            counted = made.daemon.app.measures.counters
+            counted = made.daemon.app.metrics.counters
             assert counted["attempts", (("outcome", "withheld"),)] == 1.0
 
     trio.run(main)
@@ -211,14 +211,14 @@
     async def main():
         desks = make_desks()
         async with forwarding.open_forwarding(*desks) as made:
-            made.store.refusing = 503
+            made.store.error_status = 503
             feed = made.find_controller(0)
             await made.wait_for(lambda: feed.failing)
             made.store.put("keyed.op", "config", forwarding.make_config(2))
             made.store.put("keyed.servers", "desk-0", None)
             for topic in ("keyed.op", "keyed.servers"):
-                made.store.topic(topic).forget()
-            made.store.refusing = 0
+                made.store.topic(topic).drop_history()
+            made.store.error_status = 0
             board = made.daemon.board
             await made.wait_for(lambda: made.find_table().revision == 2)
             await made.wait_for(lambda: "desk-0" not in board.endpoints)
@@ -258,9 +258,9 @@
         desks = make_desks()
         async with forwarding.open_forwarding(*desks) as made:
             await trio.sleep(0.2)
-            made.store.deaf = True
+            made.store.delaying_polls = True
             made.register(desks[0], state="draining", sequence=2)
-            made.store.topic("keyed.servers").forget()
+            made.store.topic("keyed.servers").drop_history()
             drain_s = made.daemon.board.bounds.drain_ms / 1000
             await trio.sleep(0.8 * drain_s)
             for _ in range(4):
@@ -283,12 +283,12 @@
             *desks, heartbeat_ms=HEARTBEAT_MS
         ) as made:
             feed = made.find_controller(0)
-            made.store.refusing = 503
+            made.store.error_status = 503
             await made.wait_for(lambda: feed.failing)
             await trio.sleep(4 * HEARTBEAT_MS / 1000)
             for desk in desks:
                 made.store.put("keyed.servers", desk.name, None)
-            made.store.refusing = 0
+            made.store.error_status = 0
             await made.wait_for(lambda: not feed.failing)
             assert (await made.call("POST", "/log/")).status == 200
             made.register(desks[0], sequence=2)
@@ -377,7 +377,7 @@
             late = []
 
             async def stream():
-                bodies.append((await made.ask_engine()).body)
+                bodies.append((await made.request_stream()).body)
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(stream)
@@ -386,7 +386,7 @@
                 await made.wait_for(
                     lambda: made.daemon.board.state.value == "leaving"
                 )
-                assert await made.ask_ready(0) == 503
+                assert await made.check_readiness(0) == 503
                 early = await made.call("GET", "/look/")
                 await made.wait_for(lambda: made.daemon.board.refusing)
                 late.append(await made.call("GET", "/look/"))
--- a/tests/failures/test_forwarding_streams.py
+++ b/tests/failures/test_forwarding_streams.py
@@ -32,7 +32,7 @@
     async def main():
         engines = make_engines(confidence={"small": 90.0})
         async with forwarding.open_forwarding(*engines) as made:
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
         assert answer.status == 200
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
         assert models_of(engines) == ["small"]
@@ -50,7 +50,7 @@
     async def main():
         engines = make_engines(confidence={"small": 20.0, "large": 95.0})
         async with forwarding.open_forwarding(*engines) as made:
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
         assert models_of(engines) == ["large", "small"]
 
@@ -69,7 +69,7 @@
     async def ask(confidence):
         engines = make_engines(confidence={"small": confidence})
         async with forwarding.open_forwarding(*engines) as made:
-            answer = await made.ask_engine(last_event_id="2")
+            answer = await made.request_stream(last_event_id="2")
         assert forwarding.read_numbers(answer.body) == [3, 4]
         return models_of(engines)
 
@@ -89,7 +89,7 @@
         for engine in engines:
             engine.behaviours = [backend.break_after(2, torn=True)]
         async with forwarding.open_forwarding(*engines) as made:
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4, 5, 6]
         assert answer.body.count(b"data: ha") == 0
         seals = {f"{engine.name}.seal" for engine in engines}
@@ -124,8 +124,8 @@
 
             for engine in engines:
                 engine.behaviours = [lapse_and_break]
-            answer = await made.ask_engine()
-            refused = await made.ask_engine()
+            answer = await made.request_stream()
+            refused = await made.request_stream()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
         assert refused.status == 503
 
@@ -141,7 +141,7 @@
             engine.always = backend.break_after(1)
         async with forwarding.open_forwarding(*engines) as made:
             try:
-                await made.ask_engine()
+                await made.request_stream()
             except httpcore.RemoteProtocolError:
                 return
         raise AssertionError("the broken stream looked complete")
@@ -166,7 +166,7 @@
         for engine in engines:
             engine.behaviours = [skip]
         async with forwarding.open_forwarding(*engines) as made:
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
 
     trio.run(main)
@@ -189,7 +189,7 @@
         (engine,) = make_engines(1)
         engine.always = slice_up
         async with forwarding.open_forwarding(engine) as made:
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4, 5]
 
     trio.run(main)
@@ -211,7 +211,7 @@
         for engine in engines:
             engine.behaviours = [babble]
         async with forwarding.open_forwarding(*engines) as made:
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
 
     trio.run(main)
@@ -227,7 +227,7 @@
         async with forwarding.open_forwarding(engine, config=config) as made:
             began = trio.current_time()
             try:
-                await made.ask_engine()
+                await made.request_stream()
             except httpcore.RemoteProtocolError:
                 pass
             else:
@@ -257,7 +257,7 @@
             async with trio.open_nursery() as nursery:
 
                 async def ask(daemon):
-                    await made.ask_engine(
+                    await made.request_stream(
                         daemon=daemon, carawayward_deadline_ms="3000"
                     )
 
@@ -297,7 +297,7 @@
             pace = fill_engines(made, engines, 1e6)
             pace.token_ms = 0.01
             began = trio.current_time()
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
             assert answer.status == 503
             assert trio.current_time() - began < 0.5
             # Ten seconds behind, less the target of 0.3 s.
@@ -320,7 +320,7 @@
             placer = made.daemon.app.forwarder.placer
             pace = placer.fleet.get_latency_model("engines")
             pace.base_ms = 60_000.0
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
             assert answer.status == 200
             assert pace.base_ms < 60_000.0
 
@@ -345,7 +345,7 @@
         async with forwarding.open_forwarding(*engines) as made:
             pace = fill_engines(made, engines, 1e6)
             pace.token_ms = 0.001
-            answer = await made.ask_engine(carawayward_deadline_ms="1600")
+            answer = await made.request_stream(carawayward_deadline_ms="1600")
             assert answer.status == 200
             assert sum(engine.arrivals for engine in engines) == 1
             assert not made.daemon.app.forwarder.fleet.list_quarantined()
--- a/tests/model/test_delegated_reads.py
+++ b/tests/model/test_delegated_reads.py
@@ -58,7 +58,7 @@
     def add_handler(self, kind, handler):
         self.handlers[kind] = handler
 
-    def list_domain_peers(self):
+    def list_delegate_candidates(self):
         return [self.peer]
 
     def send(self, name, data):
--- a/tests/model/test_eras.py
+++ b/tests/model/test_eras.py
@@ -188,7 +188,7 @@
         await self.feed.start(nursery)
         await controller.start(nursery)
 
-    def list_domain_peers(self) -> list[str]:
+    def list_delegate_candidates(self) -> list[str]:
         return [name for name in NAMES if name != self.name]
 
     def add_handler(self, kind: int, handler: typing.Any) -> None:
--- a/tests/standins/store.py
+++ b/tests/standins/store.py
@@ -42,7 +42,7 @@
         self.grown.set()
         self.grown = trio.Event()
 
-    def forget(self) -> None:
+    def drop_history(self) -> None:
         """Drop the history; the newest records stay."""
         self.first = self.end
         self.records = []
@@ -52,20 +52,20 @@
 class Store:
     """The store and the faults that a test has switched on.
 
-    ``refusing`` is a status for every call. ``silent`` leaves calls without
-    an answer and notes their topics in ``held``. ``losing`` carries appends
-    out and resets the connection. While ``deaf`` is set polls hear of no new
-    record before their time is up. ``era`` stands in all answers, None in
-    none.
+    ``error_status`` is sent in reply to every call. ``silent`` leaves calls
+    without a reply and lists their topics in ``unanswered``.
+    ``dropping_append_answers`` applies appends, then resets the connection.
+    With ``delaying_polls`` long polls return no record before they time out.
+    ``era`` is sent in all replies, None in none.
     """
 
     topics: dict[str, Topic] = attrs.field(factory=dict)
-    refusing: int = 0
+    error_status: int = 0
     silent: bool = False
-    losing: bool = False
-    deaf: bool = False
+    dropping_append_answers: bool = False
+    delaying_polls: bool = False
     calls: int = 0
-    held: list[str] = attrs.field(factory=list)
+    unanswered: list[str] = attrs.field(factory=list)
     era: int | None = None
     saved: dict[str, Topic] = attrs.field(factory=dict)
 
@@ -107,10 +107,10 @@
         target = urllib.parse.urlsplit(exchange.request.target)
         query = dict(urllib.parse.parse_qsl(target.query))
         if self.silent:
-            self.held.append(query["topic"])
+            self.unanswered.append(query["topic"])
             await trio.sleep_forever()
-        if self.refusing:
-            await exchange.answer(self.refusing)
+        if self.error_status:
+            await exchange.answer(self.error_status)
             return
         topic = self.topic(query["topic"])
         match target.path.rpartition("/")[2]:
@@ -145,7 +145,7 @@
         if start == topic.end:
             with trio.move_on_after(int(query.get("waitMs", 0)) / 1000):
                 await topic.grown.wait()
-                while self.deaf:
+                while self.delaying_polls:
                     await trio.sleep(0.01)
         if self.era != era:
             await exchange.reset()
@@ -175,7 +175,7 @@
             (length,) = struct.unpack_from(">I", content)
             topic.append(content[4 : 4 + length])
             content = content[4 + length :]
-        if self.losing:
+        if self.dropping_append_answers:
             await exchange.reset()
             return
         body = json.dumps({"offset": offset, "end": topic.end}).encode()
