--- a/src/carawayward/forwarding/cold_starts.py
+++ b/src/carawayward/forwarding/cold_starts.py
@@ -65,7 +65,7 @@
     def release(self, permit: cold_starts.Permit | None) -> None:
         """Release the permit of a request that has ended."""
         if permit is not None:
-            cold_starts.give_back(self.permits, permit)
+            cold_starts.release(self.permits, permit)
 
     def _list_cold(self) -> typing.Iterator[tuple[str, int]]:
         """List the cold endpoints, each with this entry VM's permits."""
--- a/src/carawayward/forwarding/exchange.py
+++ b/src/carawayward/forwarding/exchange.py
@@ -14,8 +14,8 @@
 from carawayward.forwarding import attempt_timeouts
 from carawayward.forwarding import fleet as fleet_module
 from carawayward.forwarding import hops
-from carawayward.forwarding import measures as measures_module
 from carawayward.forwarding import message_types
+from carawayward.forwarding import metrics as metrics_module
 from carawayward.forwarding import placing
 from carawayward.forwarding import relaying
 from carawayward.forwarding import replies
@@ -63,7 +63,7 @@
     relay: relaying.Relay
     may_send: typing.Callable[[work_items.Work], bool]
     compute_retry_after_ms: typing.Callable[[], float]
-    measures: measures_module.Measures
+    metrics: metrics_module.Metrics
 
     @property
     def fleet(self) -> fleet_module.Fleet:
@@ -92,7 +92,7 @@
         self, work: work_items.Work, reply: replies.Reply
     ) -> None:
         while True:
-            choice = self.rollouts.choose(work)
+            choice = self.rollouts.choose_version(work)
             endpoint = self.placer.choose(work, choice)
             if endpoint is None:
                 await self._send_final_failure(work, reply, "no endpoint")
@@ -145,7 +145,7 @@
         self,
         work: work_items.Work,
         endpoint: fleet_module.TrackedEndpoint,
-        choice: rollout_state.Choice | None,
+        choice: rollout_state.VersionChoice | None,
         reply: replies.Reply,
     ) -> work_items.Outcome:
         """Send the request to one endpoint and relay its response."""
@@ -270,7 +270,7 @@
             case work_items.Unreached():
                 work.unusable |= {name}
                 took_ms = self.clock.now_ms() - work.progress.began_ms
-                self.fleet.record_unreached(endpoint, took_ms)
+                self.fleet.record_unreachable(endpoint, took_ms)
                 work.unreached_ms += took_ms
                 self.fleet.record_failure(endpoint, outcome.cause)
             case work_items.Declined():
@@ -283,7 +283,7 @@
                 work.earlier_may_have_run = True
                 work.failure = outcome
                 self.fleet.record_failure(endpoint, outcome.cause)
-        self.measures.count("attempts", outcome=type(outcome).__name__.lower())
+        self.metrics.count("attempts", outcome=type(outcome).__name__.lower())
         events.log_event(
             events.Event.ATTEMPT_ENDED,
             request=work.metadata.request_id,
@@ -350,11 +350,11 @@
 
     def _log_end(self, work: work_items.Work, status: int, cause: str) -> None:
         took_ms = self.clock.now_ms() - work.began_ms
-        self.measures.count(
+        self.metrics.count(
             "requests", route=work.route.name, status=str(status)
         )
         if 200 <= status < 300:
-            self.measures.observe("answer", took_ms, route=work.route.name)
+            self.metrics.observe("answer", took_ms, route=work.route.name)
         events.log_event(
             events.Event.REQUEST_FORWARDED,
             request=work.metadata.request_id,
--- a/src/carawayward/forwarding/fleet.py
+++ b/src/carawayward/forwarding/fleet.py
@@ -40,7 +40,7 @@
     """A registry entry with the endpoint's load and health."""
 
     entry: message_types.EndpointEntry
-    view: placement.View
+    view: placement.EndpointView
 
 
 @attrs.define(eq=False)
@@ -104,7 +104,7 @@
                     view.failure_domain == self.board.failure_domain,
                 )
                 for view in pool.views
-                if placement.is_open(view, now_ms, excluded)
+                if placement.is_available(view, now_ms, excluded)
             ],
             prompt,
             now_ms,
@@ -126,7 +126,9 @@
         names = [
             view.name
             for view in pool.views
-            if health_module.may_take(view.health, now_ms, view.in_flight)
+            if health_module.accepts_request(
+                view.health, now_ms, view.in_flight
+            )
         ]
         weight = engine_load.compute_mean_weight(self.loads, names, now_ms)
         return weight * self.get_latency_model(service).token_ms
@@ -145,7 +147,7 @@
 
     def _list_views(
         self, endpoint_filter: EndpointFilter
-    ) -> list[placement.View]:
+    ) -> list[placement.EndpointView]:
         views = [
             endpoint.view
             for endpoint in self.tracked.values()
@@ -200,12 +202,12 @@
 
     def record_accepted(self, endpoint: TrackedEndpoint) -> None:
         """Record that an endpoint has accepted a request."""
-        quarantine_module.record_taken(self.quarantine, endpoint.entry.name)
+        quarantine_module.record_accepted(self.quarantine, endpoint.entry.name)
         self.last_reached_ms[endpoint.entry.failure_domain] = (
             self.clock.now_ms()
         )
 
-    def record_unreached(
+    def record_unreachable(
         self, endpoint: TrackedEndpoint, took_ms: float
     ) -> None:
         """Record a failed connection attempt that took ``took_ms``.
@@ -215,7 +217,7 @@
         and all its endpoints are quarantined.
         """
         name, now_ms = endpoint.entry.name, self.clock.now_ms()
-        quarantine_module.record_unreached(self.quarantine, name, now_ms)
+        quarantine_module.record_unreachable(self.quarantine, name, now_ms)
         domain = endpoint.entry.failure_domain
         last_seen_ms = self.last_reached_ms.get(domain, float("-inf"))
         if (
@@ -253,7 +255,7 @@
         health_module.record_failure(endpoint.view.health)
         pool = self.find_pool(EndpointFilter(endpoint.entry.service))
         healths = [view.health for view in pool.views]
-        if health_module.judge(
+        if health_module.eject_if_outlier(
             endpoint.view.health, healths, self.clock.now_ms()
         ):
             events.log_event(
@@ -276,22 +278,22 @@
             ):
                 endpoint = TrackedEndpoint(entry=entry, view=_make_view(entry))
                 self.loads.cached.pop(name, None)
-                quarantine_module.record_taken(self.quarantine, name)
+                quarantine_module.record_accepted(self.quarantine, name)
             endpoint.entry = entry
             kept[name] = endpoint
         self.tracked = kept
         engine_load.forget_engines(self.loads, kept)
         for name in self.quarantine.endpoints.keys() - kept.keys():
-            quarantine_module.record_taken(self.quarantine, name)
+            quarantine_module.record_accepted(self.quarantine, name)
 
 
 def _identify(entry: message_types.EndpointEntry) -> EndpointIdentity:
     return entry.address, entry.born
 
 
-def _make_view(entry: message_types.EndpointEntry) -> placement.View:
+def _make_view(entry: message_types.EndpointEntry) -> placement.EndpointView:
     """Make a view whose concurrency limit is the endpoint's slot count."""
-    return placement.View(
+    return placement.EndpointView(
         name=entry.name,
         failure_domain=entry.failure_domain,
         limit=limits.Limit(value=float(max(1, entry.slots)), starting=False),
--- a/src/carawayward/forwarding/placing.py
+++ b/src/carawayward/forwarding/placing.py
@@ -12,8 +12,8 @@
 from carawayward import events
 from carawayward.forwarding import fleet as fleet_module
 from carawayward.forwarding import load_reports
-from carawayward.forwarding import measures as measures_module
 from carawayward.forwarding import message_types
+from carawayward.forwarding import metrics as metrics_module
 from carawayward.forwarding import rollout_state
 from carawayward.forwarding import rollouts as rollouts_module
 from carawayward.forwarding import work_items
@@ -31,7 +31,7 @@
     fleet: fleet_module.Fleet
     rollouts: rollouts_module.Rollouts
     reporter: load_reports.LoadReporter
-    measures: measures_module.Measures
+    metrics: metrics_module.Metrics
     make_budget: typing.Callable[[], retry_budget.RetryBudget]
     budgets: dict[str, retry_budget.RetryBudget] = attrs.field(factory=dict)
 
@@ -40,7 +40,7 @@
         budget = self.budgets.get(service)
         if budget is None:
             budget = self.budgets[service] = self.make_budget()
-        budget.vms = self.reporter.count_known()
+        budget.vms = self.reporter.count_members()
         return budget
 
     def choose_model(self, work: work_items.Work) -> None:
@@ -76,7 +76,7 @@
         exhausted = self.fleet.cold_starts.list_exhausted()
         excluded = work.unusable | exhausted | self.fleet.list_quarantined()
         for endpoint_filter in self._list_filters(
-            work, self.rollouts.choose(work)
+            work, self.rollouts.choose_version(work)
         ):
             pool = self.fleet.find_pool(endpoint_filter)
             engine = self._choose_engine(work, pool, prompt, excluded)
@@ -93,7 +93,7 @@
         return escalation.Overload(behind=1.0)
 
     def choose(
-        self, work: work_items.Work, choice: rollout_state.Choice | None
+        self, work: work_items.Work, choice: rollout_state.VersionChoice | None
     ) -> fleet_module.TrackedEndpoint | None:
         """Choose an endpoint, preferably of the version of ``choice``.
 
@@ -135,13 +135,13 @@
         prompt: engine_load.Prompt,
         excluded: frozenset[str],
     ) -> engine_load.Choice | None:
-        remote_weight = engine_load.find_remote_weight(
+        remote_weight = engine_load.compute_remote_penalty(
             self.fleet.get_latency_model(work.service), work.route.target_ms
         )
         return self.fleet.choose_engine(pool, prompt, excluded, remote_weight)
 
     def _list_filters(
-        self, work: work_items.Work, choice: rollout_state.Choice | None
+        self, work: work_items.Work, choice: rollout_state.VersionChoice | None
     ) -> list[fleet_module.EndpointFilter]:
         if choice is None:
             return [fleet_module.EndpointFilter(work.service)]
@@ -151,7 +151,7 @@
         if not choice.new:
             return [old] if choice.strict else [old, new]
         count = len(self.fleet.find_pool(new).views)
-        max_endpoints = self.rollouts.count_endpoints(choice, count)
+        max_endpoints = self.rollouts.limit_endpoints(choice, count)
         return [attrs.evolve(new, max_endpoints=max_endpoints), old]
 
     def begin_reading(
@@ -165,7 +165,7 @@
                 self.reporter.loads, endpoint.entry.name, prompt
             )
             reading.weight = unread * prompt.model_weight
-            self.reporter.add_cached(endpoint.entry.name, prompt.parts[:-1])
+            self.reporter.record_cached(endpoint.entry.name, prompt.parts[:-1])
         work.reading = reading if prompt is not None else None
         reading.begin()
         return reading
@@ -205,7 +205,7 @@
             # its latency, it would pass however slow it is.
             model = self.fleet.get_latency_model(work.service)
             engine_load.observe_ttft(model, work.backlog, took_ms)
-        self.measures.observe("head", took_ms, model=work.model_name)
+        self.metrics.observe("head", took_ms, model=work.model_name)
 
     def find_larger_model(self, work: work_items.Work) -> int | None:
         """Return the larger model to ask instead; None to keep the answer."""
@@ -216,7 +216,7 @@
         budget = self.find_budget(work.service)
         if not retry_budget.may_spend(budget, self.clock.now_ms()):
             return None
-        return escalation.find_next(
+        return escalation.choose_next(
             work.model,
             len(work.route.models),
             work.confidence,
--- a/src/carawayward/forwarding/work_items.py
+++ b/src/carawayward/forwarding/work_items.py
@@ -79,19 +79,19 @@
     def begin(self) -> None:
         """Add the prompt to the engine's outstanding load."""
         load = engine_load.Load(self.weight, 1)
-        self.reporter.add_load(self.engine, load)
+        self.reporter.record_load(self.engine, load)
 
     def observe_ttft(self) -> None:
         """Remove the prompt's tokens: the engine has read them."""
         if self.weight:
             load = engine_load.Load(-self.weight, 0)
-            self.reporter.add_load(self.engine, load)
+            self.reporter.record_load(self.engine, load)
             self.weight = 0.0
 
     def end(self) -> None:
         """Remove the stream, and the prompt's tokens if still outstanding."""
         load = engine_load.Load(-self.weight, -1)
-        self.reporter.add_load(self.engine, load)
+        self.reporter.record_load(self.engine, load)
         self.weight = 0.0
 
 
@@ -175,7 +175,10 @@
     weight = costs.get(model, 1.0) / max(costs.values(), default=1.0)
     return engine_load.Prompt(
         parts=tuple(
-            (load_report_messages.shorten(f"{model}/{part.name}"), part.tokens)
+            (
+                load_report_messages.hash_name(f"{model}/{part.name}"),
+                part.tokens,
+            )
             for part in work.metadata.prompt
         ),
         model_weight=weight,
--- a/src/carawayward/platform/records.py
+++ b/src/carawayward/platform/records.py
@@ -31,7 +31,7 @@
 STATES = {"ready": False, "draining": True}
 
 # What a record that cannot be read raises while it is taken apart.
-UNREADABLE = (KeyError, TypeError, ValueError, AttributeError)
+DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
 
 
 def decode_declaration(
@@ -56,7 +56,7 @@
             return read_table(body)
         if record.key.startswith(ROLLOUT_PREFIX):
             return read_order(body)
-    except (*UNREADABLE, errors.DeclarationError) as fault:
+    except (*DECODE_ERRORS, errors.DeclarationError) as fault:
         _log_unreadable(record, fault)
     return None
 
@@ -83,7 +83,7 @@
         if not host or not 0 < int(port) < 65536:
             raise ValueError("no address")
         return entry
-    except UNREADABLE as fault:
+    except DECODE_ERRORS as fault:
         _log_unreadable(record, fault)
         return None
 
@@ -180,7 +180,7 @@
         body = json.loads(record.value)
         state = ROLLOUT_STATES[body["state"]]
         return message_types.RolloutStatus(service, body["target"], state)
-    except UNREADABLE as fault:
+    except DECODE_ERRORS as fault:
         _log_unreadable(record, fault)
         return None
 
--- a/tests/cover/test_cold_starts.py
+++ b/tests/cover/test_cold_starts.py
@@ -85,7 +85,7 @@
         while "e-1" not in limiter.list_exhausted():
             limiter.record_sent(limiter.acquire(board.endpoints["e-1"]))
             sent += 1
-    assert 1 <= sent <= decisions.DEALT_PART * BOUND
+    assert 1 <= sent <= decisions.ASSIGNED_PART * BOUND
 
 
 def test_entry_vm_of_another_failure_domain_holds_no_permit():
--- a/tests/cover/test_forwarding_fleet.py
+++ b/tests/cover/test_forwarding_fleet.py
@@ -28,7 +28,7 @@
 
 def fail(fleet, clock, name, took_ms):
     clock.advance(took_ms)
-    fleet.record_unreached(fleet.tracked[name], took_ms)
+    fleet.record_unreachable(fleet.tracked[name], took_ms)
 
 
 def test_partitioned_failure_domain_is_quarantined_as_a_whole():
@@ -51,7 +51,7 @@
     clock.advance(300.0)
     fleet.record_accepted(fleet.tracked["engine-1"])
     clock.advance(300.0)
-    fleet.record_unreached(fleet.tracked["engine-0"], 500.0)
+    fleet.record_unreachable(fleet.tracked["engine-0"], 500.0)
     assert fleet.list_quarantined() == {"engine-0"}
 
 
--- a/tests/failures/test_forwarding_outage.py
+++ b/tests/failures/test_forwarding_outage.py
@@ -22,8 +22,8 @@
     This is the worst moment: the entry VM waits for the response to that call
     until its timeout.
     """
-    made.store.held.clear()
-    await made.wait_for(lambda: topic in made.store.held)
+    made.store.unanswered.clear()
+    await made.wait_for(lambda: topic in made.store.unanswered)
     made.store.silent = False
     return trio.current_time()
 
--- a/tests/failures/test_forwarding_plain.py
+++ b/tests/failures/test_forwarding_plain.py
@@ -307,7 +307,7 @@
             for _ in range(20):
                 answer = await made.call("POST", "/log/")
                 assert answer.status == 200
-            counters = made.daemon.app.measures.counters
+            counters = made.daemon.app.metrics.counters
             unreached_attempts = sum(
                 count
                 for (name, labels), count in counters.items()
--- a/tests/failures/test_forwarding_streams.py
+++ b/tests/failures/test_forwarding_streams.py
@@ -32,7 +32,7 @@
     async def main():
         engines = make_engines(confidence={"small": 90.0})
         async with forwarding.open_forwarding(*engines) as made:
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
         assert answer.status == 200
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
         assert list_models(engines) == ["small"]
@@ -50,7 +50,7 @@
     async def main():
         engines = make_engines(confidence={"small": 20.0, "large": 95.0})
         async with forwarding.open_forwarding(*engines) as made:
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
         assert list_models(engines) == ["large", "small"]
 
@@ -68,7 +68,7 @@
     async def ask(confidence):
         engines = make_engines(confidence={"small": confidence})
         async with forwarding.open_forwarding(*engines) as made:
-            answer = await made.ask_engine(last_event_id="2")
+            answer = await made.request_stream(last_event_id="2")
         assert forwarding.read_numbers(answer.body) == [3, 4]
         return list_models(engines)
 
@@ -88,7 +88,7 @@
         for engine in engines:
             engine.behaviours = [backend.break_after(2, torn=True)]
         async with forwarding.open_forwarding(*engines) as made:
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4, 5, 6]
         assert answer.body.count(b"data: ha") == 0
         seals = {f"{engine.name}.seal" for engine in engines}
@@ -123,8 +123,8 @@
 
             for engine in engines:
                 engine.behaviours = [expire_keys_and_truncate]
-            answer = await made.ask_engine()
-            refused = await made.ask_engine()
+            answer = await made.request_stream()
+            refused = await made.request_stream()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
         assert refused.status == 503
 
@@ -140,7 +140,7 @@
             engine.always = backend.break_after(1)
         async with forwarding.open_forwarding(*engines) as made:
             try:
-                await made.ask_engine()
+                await made.request_stream()
             except httpcore.RemoteProtocolError:
                 return
         raise AssertionError("the truncated stream looked complete")
@@ -165,7 +165,7 @@
         for engine in engines:
             engine.behaviours = [skip_event]
         async with forwarding.open_forwarding(*engines) as made:
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
 
     trio.run(main)
@@ -188,7 +188,7 @@
         (engine,) = make_engines(1)
         engine.always = send_in_small_chunks
         async with forwarding.open_forwarding(engine) as made:
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4, 5]
 
     trio.run(main)
@@ -210,7 +210,7 @@
         for engine in engines:
             engine.behaviours = [send_endless_event]
         async with forwarding.open_forwarding(*engines) as made:
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4]
 
     trio.run(main)
@@ -226,7 +226,7 @@
         async with forwarding.open_forwarding(engine, config=config) as made:
             began = trio.current_time()
             try:
-                await made.ask_engine()
+                await made.request_stream()
             except httpcore.RemoteProtocolError:
                 pass
             else:
@@ -256,7 +256,7 @@
             async with trio.open_nursery() as nursery:
 
                 async def ask(daemon):
-                    await made.ask_engine(
+                    await made.request_stream(
                         daemon=daemon, carawayward_deadline_ms="3000"
                     )
 
@@ -279,7 +279,7 @@
     placer = made.daemon.app.forwarder.placer
     for engine in engines:
         load = engine_load.Load(weight, 1)
-        engine_load.add_own(placer.reporter.loads, engine.name, load)
+        engine_load.add_own_load(placer.reporter.loads, engine.name, load)
     return placer.fleet.get_latency_model("engines")
 
 
@@ -296,7 +296,7 @@
             latency_model = add_load(made, engines, 1e6)
             latency_model.token_ms = 0.01
             began = trio.current_time()
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
             assert answer.status == 503
             assert trio.current_time() - began < 0.5
             # The backlog of ten seconds, less the target of 0.3 s.
@@ -319,7 +319,7 @@
             placer = made.daemon.app.forwarder.placer
             latency_model = placer.fleet.get_latency_model("engines")
             latency_model.base_ms = 60_000.0
-            answer = await made.ask_engine()
+            answer = await made.request_stream()
             assert answer.status == 200
             assert latency_model.base_ms < 60_000.0
 
@@ -344,7 +344,7 @@
         async with forwarding.open_forwarding(*engines) as made:
             latency_model = add_load(made, engines, 1e6)
             latency_model.token_ms = 0.001
-            answer = await made.ask_engine(carawayward_deadline_ms="1600")
+            answer = await made.request_stream(carawayward_deadline_ms="1600")
             assert answer.status == 200
             assert sum(engine.arrivals for engine in engines) == 1
             assert not made.daemon.app.forwarder.fleet.list_quarantined()
