--- a/src/carawayward/decisions/__init__.py
+++ b/src/carawayward/decisions/__init__.py
@@ -1,16 +1,17 @@
-"""Decisions under load: pure functions without sockets or clocks.
+"""Load-dependent decisions: pure functions without sockets or clocks.
 
-Those of forwarded routes: ``engine_load`` (which engine takes a prompt),
-``escalation`` (which model answers), ``retry_budget`` (how many second runs),
-``quarantine`` (endpoints to pass over), ``canary`` (how far a new version is
-let in), ``cold_starts`` (what cold endpoints get), ``redirection`` (when
-callers do better elsewhere), ``lapses`` (which endpoints have left when
-entries are missing), ``delegates`` (who reads the store for whom), ``turns``
-(who writes first) and ``store_polls`` (how long calls wait).
+For forwarded routes: ``engine_load`` (which engine gets a prompt),
+``escalation`` (which model answers), ``retry_budget`` (how many extra runs a
+service may get), ``quarantine`` (endpoints to skip for now), ``canary`` (how
+much traffic a new version gets), ``cold_starts`` (how many requests a cold
+endpoint gets), ``redirection`` (when to send callers to another entry VM),
+``lapses`` (whether missing registry entries have expired), ``delegates``
+(which entry VM reads the store for which others), ``turns`` (which entry VM
+writes first) and ``store_polls`` (how long polls of the store may wait).
 
-Those of the callers' API: ``admission``, ``queueing``, ``retry``,
+For the callers' API: ``admission``, ``queueing``, ``retry``,
 ``suspicion``, ``cascade``, ``evidence``, ``exposure``, ``rollout``,
 ``session`` and ``orders``.
 
-Those of both: ``placement``, ``limits`` and ``health``.
+For both: ``placement``, ``limits`` and ``health``.
 """
--- a/src/carawayward/decisions/admission.py
+++ b/src/carawayward/decisions/admission.py
@@ -1,8 +1,8 @@
-"""Whether a request may wait at all, and when to come back if not.
+"""Admission control: whether a request may queue, and when to retry if not.
 
-A request that cannot be answered in time is refused at once: a caller that
-is held until its deadline and then refused has lost that time, and work
-that ends too late has taken a slot from work that would have been in time.
+A request that cannot be answered in time is refused at once. Holding a caller
+until its deadline and then refusing it wastes the caller's time, and a run
+that ends too late occupies a slot that a run in time could have used.
 """
 
 import collections
@@ -12,22 +12,27 @@
 
 from carawayward.decisions import queueing
 
-# The weight of a new observation. A quarter follows a change of the mix
-# within ten answers without jumping at a single long one.
+# Weight of a new observation. A quarter follows a change in the request mix
+# within ten answers without reacting strongly to a single long one.
 EWMA_GAIN = 0.25
+# Mean deviations added to the mean to bound the service time of nearly all
+# requests.
 DEVIATIONS = 2.0
+# Part of the time left until the deadline that may be reserved for the run
+# itself.
 MAX_RESERVED_PART = 0.7
-# What a request is expected to take before anything is known of its kind.
+# Expected service time before any request of a kind has been observed.
 DEFAULT_SERVICE_MS = 500.0
-# Nobody is told to come back later than this. A longer promise would rest
-# on a forecast of the load that nothing supports.
+# Upper bound of retry-after. A longer one would rest on a load forecast that
+# nothing supports.
 MAX_RETRY_AFTER_MS = 60_000.0
 MIN_RETRY_AFTER_MS = 50.0
+# Bound on the number of kinds with an estimate of their own.
 MAX_KINDS = 4_096
 
 
 class Cause(enum.Enum):
-    """Why a request is refused."""
+    """Why a request was refused."""
 
     FULL = "full"
     LATE = "late"
@@ -36,7 +41,7 @@
 
 @attrs.frozen
 class Refusal:
-    """A refusal and when to come back; None if coming back cannot help."""
+    """A refusal, and when to retry; ``None`` if a retry cannot succeed."""
 
     cause: Cause
     retry_after_ms: float | None
@@ -44,7 +49,7 @@
 
 @attrs.define
 class ServiceTime:
-    """Learned time on a slot: its mean and its mean deviation, in ms."""
+    """Estimated slot time: moving averages of value and deviation, in ms."""
 
     mean_ms: float = DEFAULT_SERVICE_MS
     spread_ms: float = 0.0
@@ -53,7 +58,7 @@
 
 @attrs.define
 class ServiceTimes:
-    """Learned times on a slot, by kind of request and over all."""
+    """Estimated slot times, for each kind of request and overall."""
 
     overall: ServiceTime = attrs.field(factory=ServiceTime)
     by_kind: dict[str, ServiceTime] = attrs.field(factory=dict)
@@ -61,7 +66,7 @@
 
 @attrs.define
 class RetrySchedule:
-    """When each customer's last refused request was told to come back."""
+    """The retry time given to each customer's last refused request."""
 
     last_ms: dict[str, float] = attrs.field(
         factory=lambda: collections.defaultdict(float)
@@ -69,15 +74,16 @@
 
 
 def estimate_service_ms(times: ServiceTimes, kind: str) -> float:
-    """How long a request of ``kind`` will hold a slot on average, in ms."""
+    """Expected slot time of a request of ``kind``, in ms."""
     return times.by_kind.get(kind, times.overall).mean_ms
 
 
 def estimate_longest_ms(times: ServiceTimes, kind: str) -> float:
-    """How long nearly all requests of ``kind`` take, in ms.
+    """Slot time that nearly all requests of ``kind`` stay under, in ms.
 
-    Mean and two deviations, as a retransmission timeout is set: with the
-    mean alone, half of what starts at the last moment ends too late.
+    The mean plus two mean deviations, as for a TCP retransmission timeout.
+    With the mean alone, half of the requests started at the last moment would
+    end too late.
     """
     known = times.by_kind.get(kind, times.overall)
     return known.mean_ms + DEVIATIONS * known.spread_ms
@@ -86,12 +92,13 @@
 def find_latest_start(
     times: ServiceTimes, kind: str, now_ms: float, deadline_ms: float
 ) -> float:
-    """The last moment at which a start is likely to end in time.
+    """The latest time at which a run can start and still likely end in time.
 
-    Load: saturation, where every slot given to a request that ends too late
-    is taken from one that would not. At most a part of the time that is
-    left is set aside for the run: a few slow runs on one bad endpoint must not
-    make the whole pool look hopeless, or nothing would run to correct it.
+    Under saturation, every slot used by a run that ends too late is taken from
+    one that would have ended in time. Only a part of the remaining time is
+    reserved for the run: a few slow runs on one bad endpoint must not make the
+    whole pool look too slow, since then nothing would run that could correct
+    the estimate.
     """
     longest = estimate_longest_ms(times, kind)
     return deadline_ms - min(
@@ -102,10 +109,10 @@
 def record_service_time(
     times: ServiceTimes, kind: str, took_ms: float
 ) -> None:
-    """Learn from a run, also from one that was cut off at its deadline.
+    """Update the estimates from a run, including one cut off at its deadline.
 
-    Learning from answers alone would make a pool look fast just because
-    its slow runs never end.
+    Learning from completed answers alone would make a pool look fast just
+    because its slow runs never complete.
     """
     if len(times.by_kind) >= MAX_KINDS and kind not in times.by_kind:
         times.by_kind.clear()
@@ -115,26 +122,26 @@
     ):
         if not known.samples:
             known.mean_ms = took_ms
-        off = took_ms - known.mean_ms
-        known.mean_ms += EWMA_GAIN * off
-        known.spread_ms += EWMA_GAIN * (abs(off) - known.spread_ms)
+        deviation = took_ms - known.mean_ms
+        known.mean_ms += EWMA_GAIN * deviation
+        known.spread_ms += EWMA_GAIN * (abs(deviation) - known.spread_ms)
         known.samples += 1
 
 
 def predict_wait(
     queue: queueing.FairQueue, item: queueing.WaitingRequest, slots: float
 ) -> float:
-    """How long ``item`` would wait for its start, in ms.
+    """How long ``item`` would wait before it starts, in ms.
 
-    Work is counted in ms of one slot, so that ``slots`` slots do that many
-    ms of it each ms: the service rate follows from the learned limits and
-    the learned times on a slot. A rate measured from starts was tried and
-    taken out: it lagged behind bursts and refused what could be served.
+    Work is measured in ms of slot time, so ``slots`` slots do ``slots`` ms of
+    work per ms: the service rate follows from the learned concurrency limits
+    and slot times. Measuring the rate from starts was tried and removed: it
+    lagged behind bursts and refused requests that could be served.
 
-    Its turn comes at the virtual time at which the customer's own backlog
-    is served; until then each other customer gets what its weight allows
-    and no more. So the burst of a large customer adds no more to a small
-    one's wait than its share.
+    The request starts at the virtual time at which its customer's own backlog
+    has been served. Until then every other customer gets at most what its
+    weight allows, so the burst of a large customer adds no more than that
+    customer's share to a small one's wait.
     """
     own = queue.flows.get(item.customer)
     ahead = own.work if own is not None else 0.0
@@ -148,14 +155,14 @@
 
 
 def compute_queue_limit(
-    most_waiting: int, weight: float, weights: float
+    max_waiting: int, weight: float, weights: float
 ) -> int:
     """How many requests one customer may have waiting.
 
-    The places are split by weight among all declared customers, so that a
-    burst fills its own customer's places and nobody else's.
+    The queue's capacity is split by weight among all declared customers, so
+    that a burst uses up only its own customer's part.
     """
-    return max(1, int(most_waiting * weight / max(weights, weight)))
+    return max(1, int(max_waiting * weight / max(weights, weight)))
 
 
 def check_admission(
@@ -163,43 +170,45 @@
     item: queueing.WaitingRequest,
     now_ms: float,
     slots: float,
-    places: int,
-    promises: RetrySchedule,
+    queue_limit: int,
+    retries: RetrySchedule,
 ) -> Refusal | None:
-    """Refuse a request that cannot be served in time, or return None.
-
-    Load: demand of two and five times the capacity. Harm prevented: queues
-    that grow until everything in them is late, and callers that wait only
-    to be refused. The time to come back is what the customer's own backlog
-    needs to drain at its own share; each further refusal of the same
-    customer is told a later time, one turn apart, or all would come back
-    at the same moment and be refused again.
+    """Refuse a request that cannot be served in time, or return ``None``.
+
+    Without this, demand of two to five times the capacity makes queues grow
+    until everything in them is late, and callers wait only to be refused. The
+    retry time is when the customer's own backlog will have drained at its
+    share of the capacity. Each further refusal of the same customer is given a
+    retry time one turn later; otherwise all of them would retry at the same
+    moment and be refused again.
     """
     if item.latest_start_ms < now_ms:
         return Refusal(Cause.HOPELESS, None)
     wait = predict_wait(queue, item, slots)
-    turn = _find_turn(queue, item, slots)
+    turn = _compute_turn_ms(queue, item, slots)
     flow = queue.flows.get(item.customer)
     waiting = flow.count if flow is not None else 0
     late_by = now_ms + wait - item.latest_start_ms
-    if waiting < places and (late_by <= 0.0 or not waiting):
+    if waiting < queue_limit and (late_by <= 0.0 or not waiting):
         return None
-    if waiting >= places:
+    if waiting >= queue_limit:
         cause = Cause.FULL
-        drain = wait / waiting * (waiting - places + 1) if waiting else turn
+        drain = (
+            wait / waiting * (waiting - queue_limit + 1) if waiting else turn
+        )
         late_by = max(late_by, drain)
     else:
         cause = Cause.LATE
-    due = max(now_ms + late_by + turn, promises.last_ms[item.customer] + turn)
+    due = max(now_ms + late_by + turn, retries.last_ms[item.customer] + turn)
     due = min(due, now_ms + MAX_RETRY_AFTER_MS)
-    promises.last_ms[item.customer] = due
+    retries.last_ms[item.customer] = due
     return Refusal(cause, max(MIN_RETRY_AFTER_MS, due - now_ms))
 
 
-def _find_turn(
+def _compute_turn_ms(
     queue: queueing.FairQueue, item: queueing.WaitingRequest, slots: float
 ) -> float:
-    """The time between two starts of a customer that is always waiting."""
+    """Time between two starts of a continuously backlogged customer, in ms."""
     weights = item.weight + sum(
         flow.weight
         for name, flow in queue.flows.items()
--- a/src/carawayward/decisions/cascade.py
+++ b/src/carawayward/decisions/cascade.py
@@ -1,10 +1,10 @@
 """Which models of a cascade a request goes through.
 
-Made for traffic of mixed difficulty whose cheap answers mostly suffice.
-The harm of a plan too cheap is answers below the task's target; of one too
-strong, cost that donations pay. A plan is chosen for what it costs only
-once ratings prove that it meets the target; until then, and whenever the
-ratings service is silent, the declared plan stands.
+For traffic of mixed difficulty, most of which the cheap model answers well
+enough. Too cheap a plan gives answers below the task's target; too strong a
+one costs more than needed, and donations pay for it. A plan is chosen for its
+cost only once ratings prove that it meets the target. Until then, and whenever
+the ratings service does not answer, the declared plan applies.
 """
 
 import typing
@@ -14,12 +14,13 @@
 from carawayward.decisions import evidence as evidence_module
 from carawayward import declaration
 
-# Chance that a chosen plan misses the target although its bound meets it.
+# Probability that a chosen plan misses the target although its lower bound
+# meets it.
 MISS_PROBABILITY = 0.05
-# Under this many ratings of a cascade's parts nothing is learned from them.
+# With fewer ratings of the cheap version, plans are not estimated.
 MIN_RATINGS = 30.0
-# Share of a deadline that the usual (95th percentile) time of a plan's
-# steps may take; the rest is for queueing and for one more attempt.
+# Share of the deadline that the 95th percentile time of a plan's steps may
+# take; the rest is for queueing and for one more attempt.
 DEADLINE_SHARE = 0.8
 
 
@@ -27,7 +28,8 @@
 class Step:
     """Run ``version``; accept its answer if it is confident enough.
 
-    ``accept_at`` is None for the last step, whose answer always stands.
+    ``accept_at`` is ``None`` for the last step, whose answer is always
+    accepted.
     """
 
     model: str
@@ -37,7 +39,7 @@
 
 @attrs.frozen(kw_only=True)
 class Candidate:
-    """A plan and what is known of it; ``cost`` is that of one request."""
+    """A plan with its estimated cost for one request and quality bounds."""
 
     steps: tuple[Step, ...]
     cost: float
@@ -48,11 +50,11 @@
 
 @attrs.frozen(kw_only=True)
 class CascadeRatings:
-    """What ratings say of a cheap and a strong version of one cascade.
+    """Ratings of the cheap and the strong version of one cascade.
 
-    ``bands`` are the cheap version's ratings by its own confidence,
-    whether its answer was used or not. ``strong`` are those of requests
-    that a check sent on, or of all where none were.
+    ``bands`` holds the cheap version's ratings by its own confidence, whether
+    or not its answer was used. ``strong_count`` holds the ratings of requests
+    that the check escalated, or of all requests if none were.
     """
 
     cheap: declaration.Version
@@ -64,10 +66,10 @@
 def choose_version(
     model: declaration.Model, pins: typing.Mapping[str, str]
 ) -> declaration.Version | None:
-    """The session's version of a model, or the current one.
+    """The session's pinned version of a model, or else the active one.
 
-    A pinned version that is withdrawn gives None: a session keeps its
-    version or ends, it is never moved to another.
+    Returns ``None`` if the pinned version is withdrawn: a session keeps its
+    version or ends, and is never moved to another.
     """
     pinned = pins.get(model.name)
     if pinned is not None:
@@ -88,10 +90,10 @@
     allowed: frozenset[str],
     pins: typing.Mapping[str, str],
 ) -> list[Step]:
-    """The declared plan of a task: cheap, checked, then strong.
+    """The declared plan of a task: cheap version, check, strong version.
 
-    Models that the customer may not use, or that have no version to run,
-    are left out; an empty plan means that nothing may run.
+    Models that the customer may not use, or that have no version to run, are
+    left out. An empty plan means that nothing may run.
     """
     usable = []
     for name in task.cascade:
@@ -111,7 +113,7 @@
 def list_candidates(
     declared: list[Step], parts: CascadeRatings
 ) -> list[Candidate]:
-    """Cheap alone, the check at every threshold, and strong alone."""
+    """Cheap version alone, the check at each threshold, strong alone."""
     cheap, strong = declared[0], declared[-1]
     alone = attrs.evolve(cheap, accept_at=None)
     found = [estimate(parts, 0, (alone,)), estimate_strong(parts, (strong,))]
@@ -125,44 +127,45 @@
 def estimate(
     parts: CascadeRatings, first_band: int, steps: tuple[Step, ...]
 ) -> Candidate:
-    """Cost and quality when answers from ``first_band`` on are accepted.
+    """Cost and quality when answers from ``first_band`` upwards are accepted.
 
-    Both parts' ratings are taken in the proportion in which requests meet
-    them: as many as the scarcer part allows. The bound then holds for the
-    mixture, and a well rated cheap part cannot hide an unrated strong one.
+    The ratings of both versions are combined in the proportion in which
+    requests reach them, limited by the version with too few ratings. The bound
+    then holds for the mixture, so a well-rated cheap version cannot make up
+    for an unrated strong one.
     """
     none = evidence_module.Count()
     accepted = sum(parts.bands[first_band:], none)
     total = sum(parts.bands, none).total
     if total < MIN_RATINGS:
         return Candidate(steps=steps, cost=0.0, lower=0.0, upper=1.0)
-    passed = accepted.total / total
-    sent_on = 1 - passed
+    accepted_part = accepted.total / total
+    escalated_part = 1 - accepted_part
     quality, samples = 0.0, total
-    if passed:
-        quality += passed * accepted.good / accepted.total
-    if sent_on > 0:
+    if accepted_part:
+        quality += accepted_part * accepted.good / accepted.total
+    if escalated_part > 0:
         count = parts.strong_count
         if not count.total:
             return Candidate(steps=steps, cost=0.0, lower=0.0, upper=1.0)
-        quality += sent_on * count.good / count.total
-        samples = min(total, count.total / sent_on)
+        quality += escalated_part * count.good / count.total
+        samples = min(total, count.total / escalated_part)
     lower = evidence_module.compute_lower_bound(
         quality, samples, MISS_PROBABILITY
     )
     upper = evidence_module.compute_upper_bound(
         quality, samples, MISS_PROBABILITY
     )
-    cost = parts.cheap.cost + sent_on * parts.strong.cost
+    cost = parts.cheap.cost + escalated_part * parts.strong.cost
     return Candidate(steps=steps, cost=cost, lower=lower, upper=upper)
 
 
 def estimate_strong(
     parts: CascadeRatings, steps: tuple[Step, ...]
 ) -> Candidate:
-    """Strong alone, judged by what checks sent on to it.
+    """The strong version alone, estimated from escalated requests.
 
-    Those requests are no easier than the mix, so the bound is not too high.
+    Those are no easier than the overall mix, so the bound is not too high.
     """
     count = parts.strong_count
     quality = count.good / count.total if count.total else 0.0
@@ -181,11 +184,12 @@
 def choose_plan(
     declared: list[Step], parts: CascadeRatings | None, target: float
 ) -> list[Step]:
-    """The cheapest plan that ratings prove, else the declared one.
+    """The cheapest plan that ratings prove, or else the declared one.
 
-    ``parts`` is None while ratings are missing. If they prove that the
-    declared plan misses the target and prove no other, the strongest
-    version answers: quality first, for as long as the doubt lasts.
+    ``parts`` is ``None`` while ratings are missing. If the ratings prove that
+    the declared plan misses the target and prove no other plan, the strongest
+    version answers: quality takes precedence over cost while this is
+    uncertain.
     """
     if parts is None or len(declared) < 2:
         return declared
@@ -206,12 +210,12 @@
     usual_ms: typing.Mapping[str, float],
     left_ms: float,
 ) -> list[Step]:
-    """Leave out the check when there is no time for both answers.
+    """Drop the check when there is not enough time for both answers.
 
-    A cascade that escalates takes the time of two answers. When the usual
-    time of both does not fit what is left of the deadline, the strong
-    version answers alone; when that does not fit either, the cheap one: a
-    late answer helps nobody.
+    A request that escalates takes the time of two answers. If the 95th
+    percentile times of both do not fit into the remaining time, the strong
+    version answers alone; if that does not fit either, the cheap one does,
+    since a late answer is useless.
     """
     times = [usual_ms.get(step.version, 0.0) for step in steps]
     allowed = left_ms * DEADLINE_SHARE
--- a/src/carawayward/decisions/cold_starts.py
+++ b/src/carawayward/decisions/cold_starts.py
@@ -1,12 +1,12 @@
 """How many requests a cold endpoint gets.
 
-Load: endpoints start while their pool is busy. They have nothing to do yet, so
-that every entry VM would choose them at the same moment. Failure prevented: an
-endpoint that is cold crashes when it gets more than a few requests a second.
+Endpoints start while their pool is busy. A new endpoint is idle, so every
+entry VM would choose it at the same moment, and an endpoint that is still cold
+crashes if it gets more than a few requests a second.
 
-The bound holds for all entry VMs together without a message between them. A
-few of them, found by rendezvous hashing, may send to an endpoint while it is
-cold; each has a fixed number of permits, and the others pass it over.
+The limit holds for all entry VMs together without any messages between them. A
+few of them, selected by rendezvous hashing, may send to an endpoint while it
+is cold, each with a fixed number of permits; the others skip it.
 """
 
 import functools
@@ -16,49 +16,50 @@
 
 from carawayward.decisions import placement
 
-# The span for which requests are counted, in ms, and a little for timers.
+# Length of the window in which requests are counted, in ms, and an allowance
+# for late timers.
 WINDOW_MS = 1_000.0
 TIMER_SLACK_MS = 50.0
-# Entry VMs that may send to the same cold endpoint.
+# Number of entry VMs that may send to the same cold endpoint.
 MAX_HOLDERS = 3
-# Part of the bound that is dealt out. Entry VMs that are cut in two halves
-# each find holders of their own.
+# Part of the limit that is assigned. If a network partition splits the entry
+# VMs in two, each side selects its own holders.
 ASSIGNED_PART = 0.5
-# Ranks that are kept: hashing them is most of what sharing permits costs.
+# Number of cached ranks; hashing them is most of the cost of sharing permits.
 MAX_RANKS_KEPT = 4_096
-# No endpoint is taken to be cold for longer, whatever its entry says.
+# An endpoint is never treated as cold for longer, whatever its entry says.
 MAX_COLD_MS = 60_000.0
 
 
 def compute_permits(per_s: float, overshoot: float, slack: float) -> int:
-    """How many requests a cold endpoint may get in any second, together."""
+    """Requests a cold endpoint may get in any second, from all entry VMs."""
     return int(ASSIGNED_PART * (per_s * overshoot + slack))
 
 
 @functools.lru_cache(maxsize=MAX_RANKS_KEPT)
 def hash_rank(endpoint: str, vm: str) -> int:
-    """The place of an entry VM among those that may hold permits."""
+    """Rendezvous rank of an entry VM for an endpoint; the lowest win."""
     return placement.hash_key(f"{endpoint}/{vm}")
 
 
 def share_permits(
     own: str, members: typing.Iterable[str], endpoint: str, permits: int
 ) -> int:
-    """How many of an endpoint's permits ``own``, one of them or not, holds."""
+    """How many of an endpoint's permits ``own`` holds, 0 if not a holder."""
     ranked = sorted(members, key=lambda name: hash_rank(endpoint, name))
     holders = ranked[: min(MAX_HOLDERS, permits)]
     if own not in holders:
         return 0
-    each, rest = divmod(permits, len(holders))
-    return each + (holders.index(own) < rest)
+    each, remainder = divmod(permits, len(holders))
+    return each + (holders.index(own) < remainder)
 
 
 @attrs.define(eq=False)
 class Permit:
     """Permission to send one request; counts until ``expires_ms``.
 
-    It does not expire before the request has been sent: a connection may
-    take long to come about.
+    It does not expire before the request has been sent, since a connection may
+    take a long time to be established.
     """
 
     endpoint: str
@@ -73,14 +74,16 @@
 
 
 def count_taken(permits: Permits, endpoint: str, now_ms: float) -> int:
-    """How many permits for an endpoint have not expired."""
-    held = permits.taken.get(endpoint)
-    if held is None:
+    """Number of unexpired permits for an endpoint."""
+    permits_taken = permits.taken.get(endpoint)
+    if permits_taken is None:
         return 0
-    held[:] = [each for each in held if now_ms < each.expires_ms]
-    if not held:
+    permits_taken[:] = [
+        each for each in permits_taken if now_ms < each.expires_ms
+    ]
+    if not permits_taken:
         del permits.taken[endpoint]
-    return len(held)
+    return len(permits_taken)
 
 
 def take(permits: Permits, endpoint: str) -> Permit:
@@ -91,11 +94,11 @@
 
 
 def record_sent(permit: Permit, now_ms: float) -> None:
-    """The request goes out; it counts for one window from now on."""
+    """Start the permit's window: the request is being sent now."""
     permit.expires_ms = now_ms + WINDOW_MS + TIMER_SLACK_MS
 
 
 def release(permits: Permits, permit: Permit) -> None:
-    """The request is over; a permit that it did not use is free at once."""
+    """Return a finished request's permit, unless the request was sent."""
     if permit.expires_ms == float("inf"):
         permits.taken[permit.endpoint].remove(permit)
--- a/src/carawayward/decisions/delegates.py
+++ b/src/carawayward/decisions/delegates.py
@@ -1,16 +1,17 @@
-"""Which entry VM reads the store for which others.
-
-Load: each entry VM proves by calls of its own that what it knows is the
-newest, whether anything changes or not. Failure prevented: calls grow with
-the entry VMs until the store turns them away, or their delegates die, freeze
-or are cut off and nobody notices.
-
-A few entry VMs of each failure domain read, and the others query one of them.
-All choose by the same hash over those that they know, so that nobody is
-elected; where two know different ones, a few more read than need to. The
-queries are the failure detector: whoever leaves several of them in a row
-unanswered is passed over until it answers again, which takes as long to find
-out among a hundred entry VMs as among eight.
+"""Which entry VM reads the store on behalf of which others.
+
+Each entry VM needs regular proof that its data is the newest, whether or not
+anything changes. If each obtained it by calls of its own, the calls would grow
+with the number of entry VMs until the store rejected them. If delegates make
+the calls, their clients have to notice when a delegate dies, freezes or is cut
+off.
+
+A few entry VMs of each failure domain read the store, and the others query one
+of them. All choose by the same hash over the entry VMs that they know, so
+there is no election; where two know different sets, a few more read than
+necessary. The queries are also the failure detector: a delegate that leaves
+several in a row unanswered is skipped until it answers again. Detection takes
+as long among a hundred entry VMs as among eight.
 """
 
 import typing
@@ -19,12 +20,12 @@
 
 from carawayward.decisions import placement
 
-# A delegate sends each client some three reports a second.
+# A delegate sends each client about three reports a second.
 MAX_CLIENTS_PER_DELEGATE = 16
-# Queries in a row without an answer after which a delegate is passed over. A
-# process that was paused itself has sent fewer when it goes on.
+# Consecutive unanswered queries after which a delegate is skipped. A process
+# that was itself paused has sent fewer by the time it resumes.
 MAX_UNANSWERED = 3
-# How often an entry VM that is passed over is queried again.
+# Interval at which a skipped entry VM is queried again.
 PROBE_MS = 2_000.0
 
 
@@ -35,7 +36,7 @@
 
 
 def choose_delegate(own: str, names: typing.Collection[str]) -> str:
-    """Who reads for ``own``, among ``names`` with itself; maybe itself."""
+    """The delegate of ``own`` among ``names``, which may be ``own`` itself."""
     listed = list_delegates(names)
     if own in listed:
         return own
@@ -44,11 +45,11 @@
 
 @attrs.define(eq=False)
 class DelegateChoice:
-    """Whom one entry VM queries; times in ms on its own clock.
+    """Which entry VMs one entry VM queries; times in ms on its own clock.
 
-    ``delegate`` is the one preferred, itself where ``own``. ``answering`` is
-    who answered last: it is queried along with a newly preferred one until
-    that has answered, so that a change of delegate leaves no gap.
+    ``delegate`` is the preferred one, which may be ``own``. ``answering`` is
+    the one that answered last: it is queried along with a newly preferred one
+    until that has answered, so that a change of delegate leaves no gap.
     """
 
     own: str
@@ -60,14 +61,14 @@
     def choose(self, names: typing.Collection[str]) -> str:
         """Choose among the entry VMs of the failure domain."""
         known = {self.own, *names}
-        for kept in (self.unanswered, self.probed_ms):
-            for name in kept.keys() - known:
-                del kept[name]
+        for by_name in (self.unanswered, self.probed_ms):
+            for name in by_name.keys() - known:
+                del by_name[name]
         self.delegate = choose_delegate(self.own, known - self._list_failed())
         return self.delegate
 
     def list_targets(self, now_ms: float) -> list[str]:
-        """Whom to query now; each counts as queried."""
+        """The entry VMs to query now; records a query to each."""
         failed = self._list_failed()
         if self.answering in failed or self.delegate == self.own:
             self.answering = ""
@@ -83,7 +84,7 @@
         return sorted(targets)
 
     def record_answer(self, name: str) -> None:
-        """``name`` has answered a query."""
+        """Record that ``name`` has answered a query."""
         self.unanswered.pop(name, None)
         if name == self.delegate or not self.answering:
             self.answering = name
--- a/src/carawayward/decisions/engine_load.py
+++ b/src/carawayward/decisions/engine_load.py
@@ -1,14 +1,14 @@
-"""Which model engine takes a prompt: the one that begins it first.
+"""Which model engine gets a prompt: the one expected to read it first.
 
-Load: long prompts of very different lengths, from many entry VMs at once. An
-engine reads prompts one after the other, so what a request waits for is the
-prompt tokens in front of it, not the number of requests. Each entry VM alone
-sees a small part of them. Harm prevented: one engine with a queue of long
-prompts next to idle ones, and every stream on it paused meanwhile.
+Prompts differ widely in length and come from many entry VMs at once. An engine
+reads prompts one after the other, so a request waits for the prompt tokens
+ahead of it, whatever the number of requests, and each entry VM alone sees only
+a small part of them. Without a common estimate, one engine queues long prompts
+next to idle ones, which also pauses every stream on it.
 
-Work is counted in weighted tokens: prompt tokens that still have to be read,
-times how much of an engine's time the model takes for one of them, against
-the largest. What peers have outstanding comes from their last reports.
+Work is measured in weighted tokens: prompt tokens still to be read, times the
+engine time per token of the model relative to the largest model. The work
+outstanding from peers comes from their last reports.
 """
 
 import collections
@@ -16,24 +16,25 @@
 
 import attrs
 
-# A stream that runs takes little of an engine's time beside the prompts: a
-# step of a batch grows by a fortieth for each. In weighted tokens.
+# Cost of a running stream, in weighted tokens. It is small compared with
+# prompts: each stream lengthens a batch step by a fortieth.
 STREAM_WEIGHT = 150.0
 # Work goes to another failure domain if that saves more than this part of its
-# target. Less is felt by nobody, and what crosses between domains is paid for.
+# latency target. A smaller gain goes unnoticed, and traffic between failure
+# domains costs money.
 REMOTE_PART = 0.05
 # Older reports are dropped: the load has changed or the peer has failed.
 PEER_REPORT_TTL_MS = 1_500.0
-# How often peers' reports are checked for their age.
+# Interval at which peers' reports are checked for expiry.
 EXPIRY_CHECK_MS = 100.0
-# Part of an engine's memory that kept prompts are assumed to have; the rest
-# holds what is running.
+# Part of an engine's memory assumed to hold cached prompts; the rest holds
+# running requests.
 CACHED_PART = 0.6
 
 
 @attrs.frozen
 class Load:
-    """Outstanding work at one engine, in weighted tokens, and streams."""
+    """Outstanding work of one engine, in weighted tokens, and its streams."""
 
     weight: float = 0.0
     streams: int = 0
@@ -41,7 +42,7 @@
 
 @attrs.define
 class PeerLoads:
-    """What a peer has outstanding, and until when its report counts."""
+    """Outstanding work reported by a peer, and when the report expires."""
 
     expires_ms: float
     loads: dict[str, Load]
@@ -49,7 +50,7 @@
 
 @attrs.define
 class PrefixCache:
-    """Parts of prompts that an engine is likely to have kept, oldest first."""
+    """Prompt parts that an engine has probably cached, oldest first."""
 
     tokens: int = 0
     parts: collections.OrderedDict[int, int] = attrs.field(
@@ -59,7 +60,7 @@
 
 @attrs.define
 class EngineLoads:
-    """All that one entry VM knows of the engines' outstanding work.
+    """What one entry VM knows about the engines' outstanding work.
 
     ``peer_totals`` is the sum of the reports in ``peers``, updated with each
     report: with hundreds of peers, adding them up for every prompt would cost
@@ -77,8 +78,8 @@
 class Prompt:
     """A prompt to place: its parts as (key, tokens), and its model's weight.
 
-    A part's key is of the part and the model: what one model has read is of
-    no use to another.
+    A part's key covers both the part and the model, since one model cannot use
+    what another has read.
     """
 
     parts: tuple[tuple[int, int], ...]
@@ -86,26 +87,27 @@
 
     @property
     def tokens(self) -> int:
-        """All tokens of the prompt."""
+        """Total number of tokens of the prompt."""
         return sum(tokens for _, tokens in self.parts)
 
 
-# What the first text takes on an idle engine, and a weighted token more, in
-# ms; both until learned. Engines differ, so that these only have to be near.
+# Time to first token on an idle engine, and per weighted token, in ms, until
+# learned. Engines differ, so these only have to be near.
 INITIAL_BASE_MS = 120.0
 INITIAL_TOKEN_MS = 0.06
-# The base follows this quantile of what is seen, so that most prompts come in
-# the time predicted, in steps of these parts; the first of them are large, as
-# among hundreds of entry VMs each sees a prompt a second.
+# The base tracks this quantile of the observations, so that most prompts are
+# read within the predicted time. It moves by these relative steps; the first
+# ones are large, since among hundreds of entry VMs each sees one prompt a
+# second.
 BASE_QUANTILE = 0.7
 INITIAL_BASE_STEP = 0.6
 MIN_BASE_STEP = 0.05
 MIN_BASE_MS = 10.0
-# The cost of a token follows the median of what is seen, in steps of this
-# part. Up to a third of first tokens come late for another reason, such as
-# lost packets, which would double a mean.
+# The cost per token tracks the median of the observations, in relative steps
+# of this size. Up to a third of first tokens come late for other reasons, such
+# as lost packets, which would double a mean.
 TOKEN_COST_STEP = 0.04
-# Up to the first backlog the base matters more than the tokens, past the
+# Below the first backlog the base dominates the time to first token, above the
 # second the tokens do.
 SHORT_BACKLOG = 2_000.0
 LONG_BACKLOG = 3_000.0
@@ -113,7 +115,7 @@
 
 @attrs.define
 class LatencyModel:
-    """How fast a service's engines come to the first text."""
+    """Estimated time to first token of a service's engines."""
 
     base_ms: float = INITIAL_BASE_MS
     token_ms: float = INITIAL_TOKEN_MS
@@ -121,17 +123,17 @@
 
 
 def predict_ttft(model: LatencyModel, weight: float) -> float:
-    """When the first text comes, in ms, behind so many weighted tokens."""
+    """Predicted time to first token, in ms, with ``weight`` tokens to read."""
     return model.base_ms + weight * model.token_ms
 
 
 def compute_remote_penalty(model: LatencyModel, target_ms: float) -> float:
-    """What an engine in another failure domain has to be better by."""
+    """Weighted tokens by which an engine elsewhere has to be better."""
     return REMOTE_PART * target_ms / model.token_ms
 
 
 def observe_ttft(model: LatencyModel, weight: float, took_ms: float) -> None:
-    """Learn from a prompt that was read with ``weight`` up to its end."""
+    """Update the model from a prompt read after ``weight`` weighted tokens."""
     if weight < SHORT_BACKLOG:
         slower = took_ms - weight * model.token_ms > model.base_ms
         model.short_seen += 1
@@ -148,9 +150,9 @@
 
 @attrs.frozen
 class Choice:
-    """An engine, and the weighted tokens read until the prompt is.
+    """An engine, and the weighted tokens it reads until the prompt is read.
 
-    ``ahead`` are those of them that are not the prompt's own.
+    ``ahead`` is the part of them that precedes the prompt itself.
     """
 
     name: str
@@ -167,7 +169,7 @@
 
 
 def add_own_load(loads: EngineLoads, engine: str, change: Load) -> None:
-    """Add to, or with negative figures take from, the own outstanding work."""
+    """Add ``change``, which may be negative, to the own outstanding work."""
     known = loads.own.get(engine, Load())
     now = Load(
         max(0.0, known.weight + change.weight),
@@ -186,7 +188,7 @@
     now_ms: float,
     ttl_ms: float = PEER_REPORT_TTL_MS,
 ) -> None:
-    """Replace the last known outstanding work of ``peer``."""
+    """Replace the last report of outstanding work from ``peer``."""
     _drop_report(loads, peer)
     loads.peers[peer] = PeerLoads(now_ms + ttl_ms, report)
     for engine, load in report.items():
@@ -210,7 +212,7 @@
 
 
 def expire_reports(loads: EngineLoads, now_ms: float) -> None:
-    """Drop the reports that are too old."""
+    """Drop reports that have expired."""
     if now_ms - loads.checked_ms < EXPIRY_CHECK_MS:
         return
     loads.checked_ms = now_ms
@@ -220,7 +222,7 @@
 
 
 def get_load(loads: EngineLoads, engine: str) -> Load:
-    """The outstanding work of everybody at an engine."""
+    """Outstanding work of all entry VMs at an engine."""
     own, peers = loads.own.get(engine), loads.peer_totals.get(engine)
     if own is None or peers is None:
         return own or peers or Load()
@@ -230,7 +232,7 @@
 def compute_mean_weight(
     loads: EngineLoads, engines: typing.Collection[str], now_ms: float
 ) -> float:
-    """What each of some engines still has to read, on average."""
+    """Mean weighted tokens that each of ``engines`` still has to read."""
     expire_reports(loads, now_ms)
     known = sum(get_load(loads, name).weight for name in engines)
     return known / max(1, len(engines))
@@ -242,28 +244,28 @@
     parts: typing.Iterable[tuple[int, int]],
     memory_tokens: int,
 ) -> None:
-    """Note that an engine has read, or will read, these parts."""
-    kept = loads.cached.setdefault(engine, PrefixCache())
+    """Record that an engine has read, or is about to read, these parts."""
+    cache = loads.cached.setdefault(engine, PrefixCache())
     for key, tokens in parts:
-        if key in kept.parts:
-            kept.tokens -= kept.parts.pop(key)
-        kept.parts[key] = tokens
-        kept.tokens += tokens
-    while kept.parts and kept.tokens > CACHED_PART * memory_tokens:
-        kept.tokens -= kept.parts.popitem(last=False)[1]
+        if key in cache.parts:
+            cache.tokens -= cache.parts.pop(key)
+        cache.parts[key] = tokens
+        cache.tokens += tokens
+    while cache.parts and cache.tokens > CACHED_PART * memory_tokens:
+        cache.tokens -= cache.parts.popitem(last=False)[1]
 
 
 def count_unread(loads: EngineLoads, engine: str, prompt: Prompt) -> int:
     """Tokens of a prompt that an engine would have to read.
 
-    A kept part counts only if all parts before it are kept too.
+    A cached part counts only if all parts before it are cached too.
     """
-    kept = loads.cached.get(engine)
+    cache = loads.cached.get(engine)
     unread = prompt.tokens
-    if kept is None:
+    if cache is None:
         return unread
     for key, tokens in prompt.parts:
-        if key not in kept.parts:
+        if key not in cache.parts:
             break
         unread -= tokens
     return unread
@@ -275,12 +277,12 @@
     prompt: Prompt,
     now_ms: float,
     draw: typing.Callable[[int], int],
-    remote_weight: float = 0.0,
+    remote_penalty: float = 0.0,
 ) -> Choice | None:
-    """The engine that would have the prompt read first.
+    """The engine that would finish reading the prompt first.
 
-    Those in other failure domains count as if they had ``remote_weight`` more
-    to read before.
+    Engines in other failure domains count as having ``remote_weight`` more
+    tokens to read.
     """
     expire_reports(loads, now_ms)
     best: list[Choice] = []
@@ -292,7 +294,7 @@
         cost = (
             weight
             + load.streams * STREAM_WEIGHT
-            + (0.0 if candidate.local else remote_weight)
+            + (0.0 if candidate.local else remote_penalty)
         )
         if cost < least:
             best, least = [], cost
@@ -302,6 +304,6 @@
 
 
 def forget_engines(loads: EngineLoads, known: typing.Container[str]) -> None:
-    """Drop what is known of engines that are gone."""
+    """Drop cached prompt parts of engines that no longer exist."""
     for name in [each for each in loads.cached if each not in known]:
         del loads.cached[name]
--- a/src/carawayward/decisions/evidence.py
+++ b/src/carawayward/decisions/evidence.py
@@ -1,9 +1,9 @@
-"""What ratings have shown: merged counters and honest bounds on them.
+"""Counts of ratings, merged across entry VMs, and confidence bounds on them.
 
 Each entry VM counts the ratings of the answers that it gave, under its own
-incarnation. A counter only grows and has one writer, so taking the larger
-of two copies merges them: in any order, any number of times, with the same
-result. No entry VM needs to be told which messages were lost.
+incarnation. A counter only grows and has one writer, so copies merge by taking
+the maximum: in any order, any number of times, with the same result. Entry VMs
+therefore do not have to track which messages were lost.
 """
 
 import math
@@ -11,27 +11,30 @@
 
 import attrs
 
+# Number of equal bands into which confidences are divided.
 BANDS = 20
-# Ratings older than this say little about the traffic of now; forgetting
-# them also bounds memory, whatever the number of entry VMs.
+# Older ratings say little about current traffic; dropping them also bounds
+# memory, whatever the number of entry VMs.
 KEPT_EPOCHS = 96
 HALF_LIFE_EPOCHS = 12.0
-# Cells over all origins; the oldest epochs go first. A cell takes about 180
-# bytes, so three such tables stay under 17 of the 64 MB of an entry VM.
+# Cells over all origins; the oldest epochs are dropped first. A cell takes
+# about 180 bytes, so three such tables stay under 17 of the 64 MB of an entry
+# VM.
 MAX_CELLS = 30_000
 
-# Halvings of a bound's interval: a millionth is finer than any rating.
+# Bisection steps when computing a bound: a millionth is finer than any rating.
 BISECTIONS = 20
 
 
 @attrs.frozen(slots=True)
 class Key:
-    """What a rating is about.
+    """What a rating refers to.
 
-    ``band`` is where the answer's own confidence lies among ``BANDS`` equal
-    bands; ``escalated`` says that a check sent the request on to here.
-    ``generation`` is that of the roll-out which gave an unproven version's
-    answer: what halted it once must not count again when it is resumed.
+    ``band`` is the band of the answer's own confidence among ``BANDS`` equal
+    ones; ``escalated`` says that a check sent the request on to this version.
+    ``generation`` is that of the roll-out in which an unproven version gave
+    the answer: ratings that halted it once must not count again after it is
+    resumed.
     """
 
     customer: str
@@ -44,14 +47,14 @@
 
 @attrs.frozen(slots=True)
 class Count:
-    """Numbers of good and bad ratings; may be fractions after decay."""
+    """Numbers of good and bad ratings; fractional after decay."""
 
     good: float = 0
     bad: float = 0
 
     @property
     def total(self) -> float:
-        """All ratings."""
+        """Number of all ratings."""
         return self.good + self.bad
 
     def __add__(self, other: "Count") -> "Count":
@@ -60,7 +63,7 @@
 
 @attrs.frozen(slots=True)
 class Cell:
-    """One counter: its only writer, the epoch of the answers, the key."""
+    """Identity of one counter: its only writer, the epoch, the key."""
 
     origin: str
     epoch: int
@@ -77,7 +80,7 @@
     newest: int = 0
 
     def add(self, origin: str, epoch: int, key: Key, good: bool) -> Cell:
-        """Count one rating; only the origin itself calls this."""
+        """Count one rating; called only by the origin itself."""
         cell = Cell(origin, epoch, key)
         known = self.cells.get(cell, Count())
         one = Count(1, 0) if good else Count(0, 1)
@@ -85,23 +88,23 @@
         return cell
 
     def merge(self, cell: Cell, count: Count) -> bool:
-        """Take the larger of two copies; True if that changed anything."""
+        """Take the maximum of two copies; return whether anything changed."""
         known = self.cells.get(cell, Count())
-        grown = Count(max(known.good, count.good), max(known.bad, count.bad))
-        if grown == known:
+        merged = Count(max(known.good, count.good), max(known.bad, count.bad))
+        if merged == known:
             return False
-        self.cells[cell] = grown
+        self.cells[cell] = merged
         self.newest = max(self.newest, cell.epoch)
         epochs = self.totals.setdefault(cell.key, {})
         before = epochs.get(cell.epoch, Count())
         epochs[cell.epoch] = Count(
-            before.good + grown.good - known.good,
-            before.bad + grown.bad - known.bad,
+            before.good + merged.good - known.good,
+            before.bad + merged.bad - known.bad,
         )
         return True
 
     def forget(self, now_epoch: int) -> None:
-        """Drop what is too old, and the oldest of what is too much."""
+        """Drop expired epochs, and the oldest ones beyond the memory bound."""
         oldest = now_epoch - self.kept_epochs
         if len(self.cells) > MAX_CELLS:
             newest = sorted((c.epoch for c in self.cells), reverse=True)
@@ -120,7 +123,7 @@
 def sum_epochs(
     evidence: Evidence, wanted: typing.Callable[[Key], bool]
 ) -> dict[int, Count]:
-    """Counts by epoch over all keys that are wanted."""
+    """Sum the counts by epoch over all keys for which ``wanted`` is true."""
     summed: dict[int, Count] = {}
     for key, epochs in evidence.totals.items():
         if wanted(key):
@@ -130,7 +133,7 @@
 
 
 def decay(epochs: dict[int, Count], now_epoch: int) -> Count:
-    """Sum epochs, weighing each by its age."""
+    """Sum the epochs, weighting each by its age."""
     good = bad = 0.0
     for epoch, count in epochs.items():
         weight = 0.5 ** (max(0, now_epoch - epoch) / HALF_LIFE_EPOCHS)
@@ -145,12 +148,12 @@
 
 
 def compute_lower_bound(share: float, total: float, delta: float) -> float:
-    """A share that the true one undercuts with a chance of ``delta``.
+    """Lower confidence bound of a share; fails with probability ``delta``.
 
-    The Chernoff bound in its divergence form holds for every sample size
-    and for answers of unequal difficulty (Hoeffding 1963, theorem 1). The
-    usual normal interval calls three good ratings of three certain; this
-    one says 0.37 at 5%, so that a few lucky ratings prove nothing.
+    The Chernoff bound in its divergence form holds for every sample size and
+    for answers of unequal difficulty (Hoeffding 1963, theorem 1). The usual
+    normal interval treats three good ratings out of three as certain; this
+    bound gives 0.37 at 5%, so a few good ratings by chance prove nothing.
     """
     if total <= 0 or share <= 0:
         return 0.0
@@ -158,15 +161,15 @@
     # Sums of decayed counts may exceed 1 by a rounding error.
     share = min(share, 1.0)
     other = 1 - share
-    # Divergence from ``middle``, less its constant part.
+    # Divergence from ``middle``, without its constant part.
     fixed = share * math.log(share) + (other * math.log(other) if other else 0)
     low, high = 0.0, share
     for _ in range(BISECTIONS):
         middle = (low + high) / 2
-        spread = fixed - share * math.log(middle)
+        divergence = fixed - share * math.log(middle)
         if other:
-            spread -= other * math.log(1 - middle)
-        if spread > limit:
+            divergence -= other * math.log(1 - middle)
+        if divergence > limit:
             low = middle
         else:
             high = middle
@@ -174,5 +177,5 @@
 
 
 def compute_upper_bound(share: float, total: float, delta: float) -> float:
-    """A share that the true one exceeds with a chance of ``delta``."""
+    """Upper confidence bound of a share; fails with probability ``delta``."""
     return 1.0 - compute_lower_bound(1.0 - share, total, delta)
--- a/src/carawayward/decisions/exposure.py
+++ b/src/carawayward/decisions/exposure.py
@@ -1,15 +1,15 @@
 """How many answers an unproven version may give, and when it is halted.
 
-Made for a version that turns bad while traffic is live, on many entry VMs
-that each see little of it, with ratings that come minutes late. Two limits
-work together, and neither depends on the number of entry VMs:
-
-- The budget bounds the answers that nobody has yet seen to be good. It is
-  declared for each failure domain, so that domains that are cut off from
-  each other cannot overspend together.
-- The test runs on the merged counters of all entry VMs. Its statistic is a
-  function of the counts alone, so one entry VM with ninety ratings and
-  ninety with one each halt at the same rating.
+Handles a version that turns bad during live traffic, on many entry VMs that
+each see little of it, with ratings that arrive minutes late. Two limits work
+together, and neither depends on the number of entry VMs:
+
+- The budget bounds the number of answers not yet rated good. It is declared
+  for each failure domain, so that domains cut off from each other cannot
+  overspend together.
+- The test runs on the merged counters of all entry VMs. Its statistic depends
+  on the counts alone, so one entry VM with ninety ratings and ninety with one
+  each halt at the same rating.
 """
 
 import hashlib
@@ -20,50 +20,52 @@
 
 from carawayward.decisions import evidence as evidence_module
 
-# Chance, over a whole roll-out, that a version no worse than its baseline
-# is halted. Under the goal of 1%, with room for the baseline's own bound.
+# Probability, over a whole roll-out, of halting a version that is no worse
+# than its baseline. Below the target of 1% to leave room for the error of the
+# baseline's own bound.
 FALSE_HALT_PROBABILITY = 0.005
-# Chance that the baseline's rate of bad answers exceeds the bound on it.
+# Probability that the baseline's rate of bad answers exceeds its bound.
 BASELINE_MISS_PROBABILITY = 0.05
-# The baseline's rate over a short window rests on few ratings; this many
-# at its rate over the whole roll-out are added to them.
+# The baseline's rate over a short window rests on few ratings; this many at
+# its rate over the whole roll-out are added to them.
 PRIOR_RATINGS = 60.0
-# How much worse the alternatives are, as a share of the way from the
-# baseline's rate of bad answers to all bad. The small ones find a slow
-# decline, the large ones a version that is broken altogether.
+# Alternative hypotheses: how much worse the version is, as a share of the
+# distance from the baseline's rate of bad answers to all bad. The small ones
+# detect a slow decline, the large ones a completely broken version.
 ALTERNATIVES = (0.06, 0.15, 0.35, 0.65, 0.95)
-# A good version has bad answers too, as many as its baseline has. Earning
-# back only what was spent, it would starve on those; with this much for a
-# good rating it lives with a fifth of bad ones, and a version of which half
-# are bad still runs out of budget.
+# Budget returned for a good rating. A good version has as many bad answers as
+# its baseline; if only what was spent were returned, those would use up its
+# budget. With this much, a version with a fifth of bad ratings keeps going,
+# and one with half of them bad still runs out of budget.
 EARNED_PER_GOOD_RATING = 1.25
-# An early stage puts its share on few entry VMs of a domain, each of which
-# gives at most this part of its own traffic to the unproven version.
+# An early stage concentrates its share on few entry VMs of a failure domain,
+# each of which gives at most this part of its own traffic to the unproven
+# version.
 HOLDER_SHARE = 0.5
 
 
 @attrs.frozen(slots=True)
 class ExposureAccount:
-    """One entry VM's account for one version: both numbers only grow."""
+    """One entry VM's account for one version; both numbers only grow."""
 
     spent: float = 0
     earned: float = 0
 
     @property
     def outstanding(self) -> float:
-        """Answers that no good rating has earned back."""
+        """Answers not yet covered by good ratings."""
         return self.spent - self.earned
 
 
 def spend(account: ExposureAccount, answers: int) -> ExposureAccount:
-    """Note answers given, or expected of a session that was opened."""
+    """Record answers given, or expected from a session that was opened."""
     return attrs.evolve(account, spent=account.spent + answers)
 
 
 def earn(
     account: ExposureAccount, answers: float = EARNED_PER_GOOD_RATING
 ) -> ExposureAccount:
-    """Earn back for a good rating; never more than was spent."""
+    """Return budget for a good rating, never more than was spent."""
     earned = min(account.spent, account.earned + answers)
     return attrs.evolve(account, earned=earned)
 
@@ -71,7 +73,7 @@
 def merge_accounts(
     one: ExposureAccount, other: ExposureAccount
 ) -> ExposureAccount:
-    """Merge two copies of one account: idempotent and commutative."""
+    """Merge two copies of one account; idempotent and commutative."""
     return ExposureAccount(
         max(one.spent, other.spent), max(one.earned, other.earned)
     )
@@ -84,13 +86,14 @@
     holders: int = 1,
     position: int = 0,
 ) -> float:
-    """Answers that the holder at ``position`` may still give.
-
-    ``accounts`` are those of the failure domain by incarnation, ``own``
-    this one's. Several holders spend at once on accounts that are seconds
-    old, so each has a fixed part of the budget; what others have spent
-    lowers it only once the whole is nearly gone. A part of what is left,
-    instead of the whole, let three holders spend twice the budget.
+    """Number of answers that the holder at ``position`` may still give.
+
+    ``accounts`` are those of the failure domain by incarnation, ``own`` is
+    this entry VM's. Several holders spend concurrently, and their accounts are
+    seconds old, so each holder has a fixed part of the budget; what others
+    have spent reduces it only once the whole budget is nearly used up. When
+    each holder could spend a part of the remainder instead, three holders
+    spent twice the budget.
     """
     part = budget // holders + (1 if position < budget % holders else 0)
     left = budget - sum(each.outstanding for each in accounts.values())
@@ -99,7 +102,7 @@
 
 
 def rank(name: str, subject: str) -> int:
-    """Rendezvous weight of an entry VM for a subject."""
+    """Rendezvous hash of an entry VM for a subject."""
     digest = hashlib.blake2b(f"{subject}\0{name}".encode(), digest_size=8)
     return int.from_bytes(digest.digest())
 
@@ -109,9 +112,9 @@
 ) -> list[str]:
     """Entry VMs of a failure domain that may start an unproven version.
 
-    The number follows the share, not the size of the domain: at 1% of the
-    traffic one holder serves for up to fifty entry VMs. With each entry VM
-    its own canary, the answers at risk at once grow with their number.
+    Their number depends on the share, not on the size of the domain: at 1% of
+    the traffic one holder serves up to fifty entry VMs. If every entry VM ran
+    its own canary, the number of answers at risk would grow with their number.
     """
     ranked = sorted(names, key=lambda name: rank(name, version))
     count = math.ceil(share * len(ranked) / HOLDER_SHARE)
@@ -121,9 +124,9 @@
 def is_assigned_to_canary(
     subject: str, version: str, share: float, members: int, holders: int
 ) -> bool:
-    """Whether a session, or a request without one, is for the canary.
+    """Whether a session, or a request without one, goes to the canary.
 
-    By hash, so that a retry of the same opening goes the same way.
+    Decided by hash, so that a retry of the same opening gets the same result.
     """
     part = min(1.0, share * members / max(1, holders))
     return rank(subject, version) < part * 2.0**64
@@ -131,11 +134,11 @@
 
 @attrs.frozen
 class Group:
-    """A part of the traffic that is tested on its own.
+    """A part of the traffic that is tested separately.
 
-    A version may be bad for one customer's tasks only; in the sum over all
-    customers that part would drown. Counts are by epoch; ``begun`` is the
-    epoch in which the roll-out began.
+    A version may be bad for one customer's tasks only, which could go
+    unnoticed in the sum over all customers. Counts are by epoch; ``begun`` is
+    the epoch in which the roll-out began.
     """
 
     name: str
@@ -147,10 +150,11 @@
 def compute_likelihood_ratio(
     canary: evidence_module.Count, expected_bad: float
 ) -> float:
-    """How much likelier "worse" makes these counts than "no worse".
+    """How much likelier the counts are under "worse" than under "no worse".
 
-    A mean of likelihood ratios. While the true rate of bad answers is at
-    most ``expected_bad`` its expectation never exceeds 1.
+    The mean of the likelihood ratios of all alternatives. Its expectation does
+    not exceed 1 while the true rate of bad answers is at most
+    ``expected_bad``.
     """
     expected_bad = min(max(expected_bad, 1e-4), 0.999)
     value = 0.0
@@ -168,11 +172,11 @@
 ) -> float:
     """The evidence against a version within one group.
 
-    One test for each epoch in which the version may have turned bad, with
-    weights that sum to at most 1, so the whole is one test. A single test
-    over the whole roll-out would let a long good time excuse a sudden
-    fault. The baseline is read over the same epochs: ratings that turn
-    harsher for every version then halt none.
+    There is one test for each epoch in which the version may have turned bad,
+    with weights that sum to at most 1, so that together they are one test. A
+    single test over the whole roll-out would let a long good period outweigh a
+    sudden fault. The baseline is taken over the same epochs, so ratings that
+    become harsher for every version do not halt any.
     """
     prior = compute_prior(group.baseline, assumed_bad)
     value = 0.0
@@ -184,8 +188,8 @@
             break
         canary += group.canary.get(epoch, none)
         baseline += group.baseline.get(epoch, none)
-        # A window that begins without a bad rating says no more than the
-        # next one that does; leaving it out costs no false alarm.
+        # A window that starts without a bad rating adds no more evidence than
+        # the next one that does; skipping it causes no false halts.
         if epoch in group.canary and group.canary[epoch].bad:
             expected = compute_bad_bound(baseline) + tolerated
             value += compute_likelihood_ratio(canary, expected) / (
@@ -197,7 +201,7 @@
 def compute_prior(
     baseline: dict[int, evidence_module.Count], assumed_bad: float
 ) -> evidence_module.Count:
-    """What is assumed of the baseline before a window's own ratings."""
+    """The baseline counts assumed before a window's own ratings."""
     known = sum(baseline.values(), evidence_module.Count())
     bad = (known.bad + assumed_bad * PRIOR_RATINGS) / (
         known.total + PRIOR_RATINGS
@@ -219,28 +223,28 @@
 def compute_version_evidence(
     groups: list[Group], tolerated: float, assumed_bad: float
 ) -> tuple[float, str]:
-    """The evidence against a version, and the group that shows most.
-
-    Halt when it reaches ``1 / FALSE_HALT_PROBABILITY``: by Ville's
-    inequality a version that is no worse gets there with at most that
-    probability, however often and whenever the test is evaluated. Half of
-    the weight is on the first group (all traffic), the rest is split evenly
-    among the others; a weighted mean of such tests is itself one, so testing
-    many groups does not raise the false-halt rate.
+    """The evidence against a version, and the group that shows most of it.
+
+    Halt when it reaches ``1 / FALSE_HALT_PROBABILITY``: by Ville's inequality
+    a version that is no worse gets there with at most that probability,
+    however often and whenever the test is evaluated. Half of the weight is on
+    the first group (all traffic), the rest is split evenly among the others; a
+    weighted mean of such tests is itself one, so testing many groups does not
+    raise the false-halt rate.
     """
-    total, worst, most = 0.0, "", 0.0
+    total, worst, worst_value = 0.0, "", 0.0
     for index, group in enumerate(groups):
-        alone = len(groups) == 1
-        weight = 1.0 if alone else 0.5
+        only_group = len(groups) == 1
+        weight = 1.0 if only_group else 0.5
         if index:
             weight = 0.5 / (len(groups) - 1)
         value = weight * compute_group_evidence(group, tolerated, assumed_bad)
         total += value
-        if value > most:
-            worst, most = group.name, value
+        if value > worst_value:
+            worst, worst_value = group.name, value
     return total, worst
 
 
 def is_halt_due(value: float) -> bool:
-    """Whether the evidence against a version suffices."""
+    """Whether the evidence against a version is sufficient to halt it."""
     return value >= 1 / FALSE_HALT_PROBABILITY
--- a/src/carawayward/decisions/health.py
+++ b/src/carawayward/decisions/health.py
@@ -1,8 +1,8 @@
-"""Which endpoints to leave out for a while: outlier ejection with a floor.
+"""Outlier ejection: which endpoints to skip for a while, with a floor.
 
-Load: one endpoint of a pool that fails fast, hangs or runs slowly while the
-others are well. Harm prevented: one that fails fast is always idle, so that
-every policy that looks for the least load sends it everything.
+Covers one endpoint of a pool that fails fast, hangs or runs slowly while the
+others are healthy. An endpoint that fails fast is always idle, so every policy
+that prefers the lowest load would send it all the requests.
 """
 
 import enum
@@ -11,28 +11,28 @@
 
 import attrs
 
-# Three failures in a row are rare by chance and quickly reached by an
-# endpoint that fails everything.
+# Three consecutive failures rarely happen by chance, and an endpoint that
+# fails every request reaches them quickly.
 FAILURES_IN_A_ROW = 3
-# Below this share of answers, given enough of them, an endpoint that fails
-# now and then is left out too.
+# An endpoint that fails intermittently is ejected below this success rate,
+# given this many samples.
 MIN_SUCCESS = 0.5
 MIN_SAMPLES = 10
 # Three times the pool's median per unit of work, averaged over several
 # answers, is more than batching or a cold cache explains.
 SLOW_RATIO = 3.0
-# At most this share of a pool is left out: if most of it looks ill, the
-# cause lies elsewhere (this entry VM, the network, a version) and taking
-# the pool away would make an outage out of it.
+# At most this part of a pool is ejected. If most of it looks unhealthy, the
+# cause lies elsewhere (this entry VM, the network, a version), and ejecting
+# the pool would turn that into an outage.
 MAX_EJECTED_PART = 0.5
-# A probe costs a caller a slow answer, so the first pause is not short.
+# A probe gives a caller a slow answer, so the first ejection is not short.
 INITIAL_EJECTION_MS = 10_000.0
 MAX_EJECTION_MS = 60_000.0
-# After so many answers in good health earlier ejections are forgotten.
+# After this many samples in good health, earlier ejections are forgotten.
 RESET_SAMPLES = 100
 EWMA_GAIN = 0.2
-# One answer that took several times the usual moves the mean half way: the
-# floor and the short first pause keep a wrong ejection cheap.
+# One answer that took several times the mean moves the mean half way to it;
+# the floor and the short first ejection keep a wrong ejection cheap.
 SLOW_SAMPLE_GAIN = 0.5
 
 
@@ -46,7 +46,7 @@
 
 @attrs.define
 class Health:
-    """What one entry VM has seen of one endpoint."""
+    """What one entry VM has observed of one endpoint."""
 
     state: State = State.ACTIVE
     failures: int = 0
@@ -59,11 +59,11 @@
 
 
 def record_success(health: Health, unit_ms: float) -> bool:
-    """Learn from an answer; return True if it brings the endpoint back."""
+    """Record an answer; return ``True`` if it ends the endpoint's ejection."""
     health.failures = 0
     health.samples += 1
     health.success += EWMA_GAIN * (1.0 - health.success)
-    _learn_unit(health, unit_ms)
+    _update_unit_ms(health, unit_ms)
     if health.state is not State.PROBING:
         if health.samples > RESET_SAMPLES and health.success > 0.9:
             health.ejections = 0
@@ -75,7 +75,7 @@
     return True
 
 
-def _learn_unit(health: Health, unit_ms: float) -> None:
+def _update_unit_ms(health: Health, unit_ms: float) -> None:
     old = health.unit_ms
     if old is None:
         health.unit_ms = unit_ms
@@ -85,14 +85,14 @@
 
 
 def record_failure(health: Health) -> None:
-    """Learn from a failure that the endpoint is to blame for."""
+    """Record a failure caused by the endpoint."""
     health.failures += 1
     health.samples += 1
     health.success -= EWMA_GAIN * health.success
 
 
 def is_outlier(health: Health, pool_unit_ms: float | None) -> bool:
-    """Whether the endpoint stands out badly from its pool."""
+    """Whether the endpoint is much worse than its pool."""
     if health.failures >= FAILURES_IN_A_ROW:
         return True
     if health.samples < MIN_SAMPLES:
@@ -105,7 +105,7 @@
 
 
 def compute_pool_unit_ms(pool: typing.Iterable[Health]) -> float | None:
-    """The median time per unit of work of a pool's endpoints."""
+    """The median time per unit of work over a pool's endpoints."""
     known = [h.unit_ms for h in pool if h.unit_ms is not None]
     return statistics.median(known) if len(known) > 2 else None
 
@@ -115,8 +115,8 @@
 ) -> bool:
     """Eject the endpoint if it is an outlier and the floor allows it.
 
-    A probe that failed ejects again, for twice as long; an endpoint that
-    keeps failing so costs one request a minute.
+    A failed probe ejects it again for twice as long, so an endpoint that keeps
+    failing costs one request a minute.
     """
     if health.state is State.PROBING and health.failures:
         _eject(health, now_ms)
@@ -125,15 +125,15 @@
         return False
     if not is_outlier(health, compute_pool_unit_ms(pool)):
         return False
-    out = sum(h.state is not State.ACTIVE for h in pool)
-    if out + 1 > MAX_EJECTED_PART * len(pool):
+    ejected = sum(h.state is not State.ACTIVE for h in pool)
+    if ejected + 1 > MAX_EJECTED_PART * len(pool):
         return False
     _eject(health, now_ms)
     return True
 
 
 def accepts_request(health: Health, now_ms: float, in_flight: int) -> bool:
-    """Whether work may be sent; a probe is one request at a time."""
+    """Whether a request may be sent; probes are sent one at a time."""
     if health.state is State.ACTIVE:
         return True
     if health.state is State.EJECTED and now_ms < health.until_ms:
@@ -142,7 +142,7 @@
 
 
 def begin_probe(health: Health) -> None:
-    """Note that a request is sent to see if the endpoint is well again."""
+    """Record that a request is sent to probe an ejected endpoint."""
     if health.state is State.EJECTED:
         health.state = State.PROBING
         health.failures = 0
@@ -151,7 +151,7 @@
 
 def _eject(health: Health, now_ms: float) -> None:
     health.state = State.EJECTED
-    pause = INITIAL_EJECTION_MS * 2**health.ejections
-    health.until_ms = now_ms + min(pause, MAX_EJECTION_MS)
+    duration_ms = INITIAL_EJECTION_MS * 2**health.ejections
+    health.until_ms = now_ms + min(duration_ms, MAX_EJECTION_MS)
     health.ejections = min(health.ejections + 1, 10)
     health.failures = 0
--- a/src/carawayward/decisions/orders.py
+++ b/src/carawayward/decisions/orders.py
@@ -1,10 +1,11 @@
-"""Which endpoints may change what they have loaded, and who orders it.
-
-Made for a roll-out over pools of a few to hundreds of engines, ordered by
-many entry VMs that do not ask each other. The harm it prevents: a pool that
-reloads everywhere at once and serves nothing, and loads that overrun the
-weight store. All entry VMs see the same reports, a second or two old, and
-work out the same small set; one with an older view lets fewer change.
+"""Which endpoints may change the versions they have loaded, and who orders it.
+
+For a roll-out over pools of a few to hundreds of engines, ordered by many
+entry VMs that do not consult each other. Prevents a pool from reloading
+everywhere at once and serving nothing, and concurrent loads from overloading
+the weight store. All entry VMs see the same reports, a second or two old, and
+compute the same small set of endpoints; one with an older view lets fewer
+change.
 """
 
 import hashlib
@@ -19,8 +20,8 @@
 class Order:
     """The state that an endpoint should be in.
 
-    ``fencing`` is the log offset of the document that wants it: it rises
-    with every publish and is the same whoever sends the order.
+    ``fencing`` is the log offset of the document that requires it: it
+    increases with every publish and is the same for every sender of the order.
     """
 
     fencing: int
@@ -30,7 +31,7 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointStatus:
-    """What is known of an endpoint; ``silent`` if it does not report."""
+    """What is known of an endpoint; ``silent`` if it sends no reports."""
 
     name: str
     versions: frozenset[str]
@@ -42,7 +43,7 @@
     pool: rollout_declaration.Pool,
     withdrawn: typing.Container[str],
 ) -> Order:
-    """The order for every endpoint of a pool, by the document in force."""
+    """The order for every endpoint of a pool under the document in force."""
     wanted = sorted(v for v in pool.versions if v not in withdrawn)
     return Order(fencing=revision, versions=tuple(wanted), role=pool.role)
 
@@ -58,15 +59,15 @@
     members: typing.Sequence[EndpointStatus],
     loads_left: int,
 ) -> tuple[list[str], list[str]]:
-    """Endpoints that may be changing now, and silent ones in the way.
+    """Endpoints that may change now, and silent ones that block a change.
 
-    A silent endpoint serves nothing either, so it counts like one that is
-    changing: a change must not go on through a pool that is failing.
-    Endpoints that are behind are taken in a fixed order, so the ones that
-    change now stay in the set until their reports show them done.
+    A silent endpoint serves nothing either, so it counts as changing: a change
+    must not continue through a pool that is failing. Outdated endpoints are
+    taken in a fixed order, so those that are changing stay in the set until
+    their reports show the change complete.
     """
     silent = sorted(each.name for each in members if each.silent)
-    room = min(
+    available = min(
         compute_change_limit(pool, len(members)) - len(silent), loads_left
     )
     behind = [
@@ -75,27 +76,26 @@
         if not each.silent and each.versions != frozenset(order.versions)
     ]
     behind.sort(key=lambda name: _hash_rank(name, pool.name))
-    held_by = silent if behind and room <= 0 and silent else []
-    return behind[: max(0, room)], held_by
+    held_by = silent if behind and available <= 0 and silent else []
+    return behind[: max(0, available)], held_by
 
 
 def choose_sender(endpoint: str, names: typing.Iterable[str]) -> str:
-    """The entry VM that orders an endpoint, by rendezvous.
+    """The entry VM that sends orders to an endpoint, by rendezvous hashing.
 
-    Two that differ on who is alive may both order it. That is safe: both
-    send the same state under the same number.
+    Two entry VMs that disagree on which ones are alive may both send. That is
+    safe, since both send the same state under the same fencing number.
     """
     return max(names, key=lambda name: _hash_rank(name, endpoint), default="")
 
 
 def is_due(order: Order, current: Order | None, may_change: bool) -> bool:
-    """Whether an order should be sent, given what the endpoint has.
+    """Whether an order should be sent, given the endpoint's current one.
 
-    An endpoint that holds a newer number has been ordered by an entry VM
-    with a newer document; nothing may be sent then. One that holds an old
-    number, or another state under this one, is ordered again: that is how
-    an old order, taken by an endpoint that does not check numbers, is
-    undone.
+    If the endpoint holds a newer fencing number, an entry VM with a newer
+    document has sent it, and nothing may be sent. If it holds an older number,
+    or another state under this one, the order is sent again: this undoes an
+    old order accepted by an endpoint that does not check fencing numbers.
     """
     if current is None:
         return may_change
--- a/src/carawayward/decisions/placement.py
+++ b/src/carawayward/decisions/placement.py
@@ -1,10 +1,10 @@
 """Which endpoint runs a request.
 
-What is known of an endpoint's load: this entry VM's own requests in flight,
-exactly; everybody else's from the endpoint's reports, late. The own part
-and latency choose between endpoints. Reports only bound how much affinity
-may heap onto one: choosing by them was tried and taken out, since entry VMs
-that act on the same late report all move at once.
+This entry VM knows its own requests in flight on an endpoint exactly, and
+everyone else's from the endpoint's reports, late. Endpoints are chosen by the
+own requests and by latency. Reports only bound how many requests affinity may
+concentrate on one endpoint; choosing by them was tried and removed, since
+entry VMs that act on the same late report all move at once.
 """
 
 import bisect
@@ -19,31 +19,35 @@
 
 Draw = typing.Callable[[int], int]
 
-# An endpoint may hold this much of the mean load, and as much of one request
-# more, before requests with its prefixes go to the next on the ring. Lower
-# loses cache hits, higher lets a popular prefix overload one endpoint: with
-# late reports 1.05 here keeps the busiest under 1.25 of the mean.
+# An endpoint may have this factor times the mean load, counted with one more
+# request, before requests with its prefixes go to the next on the ring. A
+# lower bound loses cache hits, a higher one lets a popular prefix overload one
+# endpoint. With late reports, 1.05 keeps the busiest endpoint under 1.25 of
+# the mean.
 LOAD_BOUND = 1.05
-# How many places of the ring are looked at before affinity is given up.
+# Number of endpoints on the ring that are tried before affinity is given up.
 RING_WALK = 3
-# Points of an endpoint on the ring: with 64 the shares of the key space
-# differ by an eighth, with one by several times.
+# Points of an endpoint on the ring: with 64 the shares of the key space differ
+# by an eighth, with one by several times.
 RING_POINTS = 64
-# Endpoints whose points are kept: twice the most that is aimed at.
+# Number of endpoints whose points are cached: twice the largest supported
+# fleet.
 MAX_POINTS_CACHED = 2_048
-# Reports are smoothed: what lasts (an endpoint that others use more) shows,
-# what swings from one report to the next does not.
+# Smoothing of reports: lasting load (an endpoint that others use more) shows,
+# fluctuation between reports does not.
 REPORT_GAIN = 0.03
-# A request leaves its failure domain only if the best local endpoint is so
-# much busier: the way to another domain costs milliseconds, a queue more.
+# A request leaves its failure domain only if the best local endpoint is this
+# much busier: the network path to another domain costs milliseconds, a queue
+# costs more.
 SPILL_FACTOR = 1.5
-# A failing endpoint must look busy, not idle: it empties its slots fast.
+# A failing endpoint must look busy, not idle, since it frees its slots
+# quickly.
 FAILURE_WEIGHT = 10.0
 
 
 @attrs.define(eq=False, kw_only=True)
 class EndpointView:
-    """What one entry VM knows of one endpoint."""
+    """What one entry VM knows about one endpoint."""
 
     name: str
     failure_domain: str
@@ -57,14 +61,14 @@
 class Candidates:
     """The endpoints that can serve one version, or one pool's calls.
 
-    Made anew only when membership changes; a decision looks at nothing
-    else, so that its cost does not grow with endpoints that cannot serve.
-    ``mean`` is refreshed every few decisions rather than in each.
+    Rebuilt only when membership changes. A decision reads nothing else, so its
+    cost does not grow with endpoints that cannot serve the request. ``mean``
+    and ``pool_ms`` are recomputed every few decisions.
     """
 
     views: list[EndpointView]
     by_domain: dict[str, list[EndpointView]]
-    elsewhere: dict[str, list[EndpointView]]
+    outside_domain: dict[str, list[EndpointView]]
     ring: list[tuple[int, EndpointView]]
     points: list[int]
     mean: float = 0.0
@@ -78,7 +82,7 @@
         by_domain: dict[str, list[EndpointView]] = {}
         for view in known:
             by_domain.setdefault(view.failure_domain, []).append(view)
-        elsewhere = {
+        outside_domain = {
             domain: [v for v in known if v.failure_domain != domain]
             for domain in by_domain
         }
@@ -91,7 +95,7 @@
             key=lambda place: place[0],
         )
         points = [place[0] for place in ring]
-        return cls(known, by_domain, elsewhere, ring, points)
+        return cls(known, by_domain, outside_domain, ring, points)
 
 
 def hash_key(text: str) -> int:
@@ -102,16 +106,17 @@
 
 @functools.lru_cache(maxsize=MAX_POINTS_CACHED)
 def find_points(name: str) -> tuple[int, ...]:
-    """An endpoint's places on the ring; hashing them is most of its cost.
+    """An endpoint's points on the ring.
 
-    Kept, since the lists are made anew just when an endpoint has gone, which
-    is no moment to hold up everything for milliseconds.
+    Hashing is most of the cost of building the ring. The points are cached
+    because rings are rebuilt just when an endpoint has gone, when a delay of
+    milliseconds for all requests would hurt most.
     """
     return tuple(hash_key(f"{name}#{point}") for point in range(RING_POINTS))
 
 
 def record_report(view: EndpointView, load: float) -> None:
-    """Take an endpoint's report of its whole load."""
+    """Update the view from an endpoint's report of its total load."""
     others = max(0.0, load - view.in_flight)
     view.other_load += REPORT_GAIN * (others - view.other_load)
 
@@ -119,8 +124,8 @@
 def compute_cost(view: EndpointView, pool_ms: float | None) -> float:
     """How long a request would take there, up to a common factor.
 
-    Load: one slow endpoint, or one that fails fast, among healthy ones.
-    Harm prevented: both look idle to a policy that counts requests only.
+    Accounts for slow endpoints and for those that fail fast; both look idle to
+    a policy that only counts requests.
     """
     health = view.health
     slowness = 1.0
@@ -133,7 +138,7 @@
 def is_available(
     view: EndpointView, now_ms: float, excluded: frozenset[str]
 ) -> bool:
-    """Whether the endpoint takes one more request just now."""
+    """Whether the endpoint can take one more request now."""
     return (
         limits.has_room(view.limit, view.in_flight)
         and health_module.accepts_request(view.health, now_ms, view.in_flight)
@@ -149,12 +154,13 @@
     draw: Draw,
     excluded: frozenset[str] = frozenset(),
 ) -> EndpointView | None:
-    """Choose an endpoint with room, or None.
+    """Choose an endpoint with room, or return ``None``.
 
-    First the prefix's own endpoints on the ring, within the load bound:
-    running the prefix again elsewhere costs more than the way to another
-    failure domain. Then the better of two drawn from the local domain, and
-    of two from everywhere when those are much busier.
+    The endpoints of the request's prefix on the ring come first, within the
+    load bound: computing the prefix again elsewhere costs more than the path
+    to another failure domain. Otherwise the better of two local endpoints is
+    chosen, or the better of two from other domains if the local ones are much
+    busier.
     """
     if not candidates.views:
         return None
@@ -172,17 +178,17 @@
 def find_affine_endpoint(
     candidates: Candidates, key: int, now_ms: float, excluded: frozenset[str]
 ) -> EndpointView | None:
-    """The first endpoint on the ring with room under the load bound.
+    """The first endpoint on the ring that is available under the load bound.
 
-    Load: skewed demand, in which one prefix is asked for far more often
-    than the rest. Harm prevented: cache misses when its requests are spread
-    over all endpoints, overload of one when they are not.
+    Under skewed demand one prefix is requested far more often than the rest.
+    Spreading its requests over all endpoints loses cache hits; sending all of
+    them to one endpoint overloads it.
     """
-    most = LOAD_BOUND * (candidates.mean + 1.0)
+    max_load = LOAD_BOUND * (candidates.mean + 1.0)
     for view in walk_ring(candidates, key, RING_WALK):
         if (
             is_available(view, now_ms, excluded)
-            and view.in_flight + view.other_load + 1.0 <= most
+            and view.in_flight + view.other_load + 1.0 <= max_load
             and not _is_degraded(view, candidates.pool_ms)
         ):
             return view
@@ -190,9 +196,9 @@
 
 
 def walk_ring(
-    candidates: Candidates, key: int, most: int
+    candidates: Candidates, key: int, max_endpoints: int
 ) -> typing.Iterator[EndpointView]:
-    """Distinct endpoints in the ring's order from a key."""
+    """Distinct endpoints in ring order, starting from a key."""
     seen: set[str] = set()
     start = bisect.bisect(candidates.points, key)
     for step in range(len(candidates.ring)):
@@ -200,7 +206,7 @@
         if view.name not in seen:
             seen.add(view.name)
             yield view
-            if len(seen) >= most:
+            if len(seen) >= max_endpoints:
                 return
 
 
@@ -213,11 +219,13 @@
 ) -> EndpointView | None:
     """The better of two local endpoints, or of two others if that pays.
 
-    Two choices rather than the least loaded of all: entry VMs that decide
-    on the same late reports would all take the same one.
+    Uses two random choices instead of the least loaded endpoint, since entry
+    VMs that decide on the same late reports would all choose the same one.
     """
     local_views = candidates.by_domain.get(failure_domain, [])
-    other_views = candidates.elsewhere.get(failure_domain, candidates.views)
+    other_views = candidates.outside_domain.get(
+        failure_domain, candidates.views
+    )
     local = _draw_best(local_views, candidates, now_ms, draw, excluded)
     other = _draw_best(other_views, candidates, now_ms, draw, excluded)
     if local is None or other is None:
@@ -233,10 +241,10 @@
     draw: Draw,
     excluded: frozenset[str],
 ) -> tuple[float, EndpointView] | None:
-    """The better of one in rotation and one drawn.
+    """The better of an endpoint in rotation and one drawn at random.
 
-    The rotation spreads work evenly while nothing is wrong; all are looked
-    at only if neither of the two had room.
+    The rotation spreads work evenly while all endpoints are healthy; the
+    others are considered only if neither of the two has room.
     """
     if not views:
         return None
@@ -250,22 +258,23 @@
                 best = (cost, view)
     if best is not None:
         return best
-    have_room = [
+    available = [
         view for view in views if is_available(view, now_ms, excluded)
     ]
-    if not have_room:
+    if not available:
         return None
-    view = have_room[draw(len(have_room))]
+    view = available[draw(len(available))]
     return compute_cost(view, candidates.pool_ms), view
 
 
-# Every how many decisions the means are taken anew. Over 100 endpoints it
-# costs some 20 microseconds, which shared by sixteen is one.
+# Number of decisions between updates of the means. An update over 100
+# endpoints costs some 20 microseconds, about one per decision when shared by
+# sixteen.
 REFRESH_EVERY = 16
 
 
 def refresh_means(candidates: Candidates) -> None:
-    """Take the means anew every few decisions."""
+    """Recompute the means every few decisions."""
     if candidates.decisions % REFRESH_EVERY == 0:
         views = candidates.views
         total = sum(view.in_flight + view.other_load for view in views)
@@ -279,9 +288,9 @@
 def _find_probe(
     candidates: Candidates, now_ms: float, excluded: frozenset[str]
 ) -> EndpointView | None:
-    """An ejected endpoint whose time is up gets the next request.
+    """An ejected endpoint that is due for a probe, or ``None``.
 
-    Its score would keep it from ever being chosen.
+    Its cost would keep it from ever being chosen otherwise.
     """
     if candidates.decisions % REFRESH_EVERY != 1:
         return None
@@ -295,7 +304,7 @@
 
 
 def _is_degraded(view: EndpointView, pool_ms: float | None) -> bool:
-    """Whether affinity should not hold work at this endpoint."""
+    """Whether affinity should not keep work at this endpoint."""
     health = view.health
     if health.success < 0.8:
         return True
--- a/src/carawayward/decisions/quarantine.py
+++ b/src/carawayward/decisions/quarantine.py
@@ -1,36 +1,36 @@
-"""Which endpoints are passed over since they would not take work just now.
+"""Which endpoints to skip for now since they recently did not take work.
 
-Load: a failure domain is cut off, endpoints are out of reach, or some decline
-what they are sent, while requests go on to arrive for all of them. Failure
-prevented: such endpoints look idle, so that each request tries them first.
+When a failure domain is cut off, endpoints are unreachable or some decline
+requests, requests keep arriving for all of them. Such endpoints look idle, so
+every request would try them first.
 
-Kept apart from health: a try costs little and never a run, and from inside a
-cut most of a pool may be out of reach at once, where the ejection of outliers
-stops at half. An endpoint is passed over, not left out: where there is no
-other it is tried.
+Separate from health: a try is cheap and never starts a run, and inside a
+network partition most of a pool may be unreachable at once, whereas outlier
+ejection stops at half. A quarantined endpoint is skipped, not excluded: it is
+tried if there is no other.
 """
 
 import typing
 
 import attrs
 
-# How long an endpoint is passed over, doubled with each try in a row up to
-# the longest. Short after a connection that failed, since a lost packet looks
-# the same, and shorter after it declined, as one that is full soon has room.
+# How long an endpoint is skipped, doubled with each consecutive try up to the
+# maximum. Short after a failed connection, since a lost packet looks the same,
+# and shorter after a declined request, as a full endpoint soon has room.
 UNREACHABLE_MS = 300.0
 DECLINED_MS = 50.0
 MAX_PAUSE_MS = 3_000.0
-# While one request tries an endpoint the others pass it over for this long:
-# the time that a connection may take, or a refusal.
+# While one request tries an endpoint, the others skip it for this long: the
+# time that a connection may take, or a refusal.
 CONNECT_TRY_MS = 500.0
 DECLINED_TRY_MS = 50.0
 
 
 @attrs.define
 class QuarantinedEndpoint:
-    """Until when an endpoint is passed over, after so many tries in a row.
+    """When an endpoint may be tried again, and its consecutive failed tries.
 
-    ``try_ms`` is how long one request's try keeps the others away.
+    ``try_ms`` is how long a request that tries it keeps the others away.
     """
 
     until_ms: float
@@ -40,7 +40,7 @@
 
 @attrs.define
 class Quarantine:
-    """Endpoints that would not take work from one entry VM, by name."""
+    """Endpoints that did not take work from one entry VM, by name."""
 
     endpoints: dict[str, QuarantinedEndpoint] = attrs.field(factory=dict)
 
@@ -48,18 +48,18 @@
 def record_unreachable(
     quarantine: Quarantine, name: str, now_ms: float
 ) -> None:
-    """No connection came about."""
+    """Record that no connection could be established."""
     _quarantine(quarantine, name, now_ms, UNREACHABLE_MS, CONNECT_TRY_MS)
 
 
 def record_domain_silent(
     quarantine: Quarantine, names: typing.Iterable[str], now_ms: float
 ) -> None:
-    """Nobody in another failure domain answers; these are in it.
+    """Quarantine endpoints of a failure domain where no entry VM answers.
 
-    Load: a failure domain is cut off without a word, and with it a third of
-    the endpoints. Harm prevented: requests try them one after the other, each
-    for as long as a connection may take.
+    When a failure domain is cut off without notice, a third of the endpoints
+    goes with it. Requests would try them one after the other, each for as long
+    as a connection may take.
     """
     for name in names:
         if name not in quarantine.endpoints:
@@ -70,7 +70,7 @@
 
 
 def record_declined(quarantine: Quarantine, name: str, now_ms: float) -> None:
-    """The endpoint says that it did not run a request."""
+    """Record that the endpoint reported it did not run a request."""
     _quarantine(quarantine, name, now_ms, DECLINED_MS, DECLINED_TRY_MS)
 
 
@@ -81,8 +81,8 @@
     first_ms: float,
     try_ms: float,
 ) -> None:
-    known = quarantine.endpoints.get(name)
-    tries = known.tries if known else 0
+    previous = quarantine.endpoints.get(name)
+    tries = previous.tries if previous else 0
     pause_ms = min(MAX_PAUSE_MS, first_ms * 2.0**tries)
     quarantine.endpoints[name] = QuarantinedEndpoint(
         now_ms + pause_ms, tries + 1, try_ms
@@ -90,22 +90,22 @@
 
 
 def record_accepted(quarantine: Quarantine, name: str) -> None:
-    """The endpoint took a request, or is another one now."""
+    """End the quarantine: the endpoint took a request or was replaced."""
     quarantine.endpoints.pop(name, None)
 
 
 def begin_try(quarantine: Quarantine, name: str, now_ms: float) -> None:
-    """A request tries an endpoint; until it is over the others pass it over.
+    """Record that a request tries an endpoint, so that the others skip it.
 
-    Otherwise all that arrive in the moment when its time is up try it.
+    Otherwise all requests that arrive when the quarantine ends would try it.
     """
-    known = quarantine.endpoints.get(name)
-    if known is not None:
-        known.until_ms = max(known.until_ms, now_ms + known.try_ms)
+    previous = quarantine.endpoints.get(name)
+    if previous is not None:
+        previous.until_ms = max(previous.until_ms, now_ms + previous.try_ms)
 
 
 def list_quarantined(quarantine: Quarantine, now_ms: float) -> frozenset[str]:
-    """Endpoints to pass over as long as there are others."""
+    """Endpoints to skip as long as there are others."""
     if not quarantine.endpoints:
         return frozenset()
     return frozenset(
--- a/src/carawayward/decisions/queueing.py
+++ b/src/carawayward/decisions/queueing.py
@@ -1,14 +1,14 @@
-"""Which waiting request goes next: weighted fair queueing by customer.
+"""Which waiting request starts next: weighted fair queueing by customer.
 
-Start-time fair queueing. Each customer with waiting work holds a tag, the
-virtual time at which its next request starts; the lowest tag goes next, and
-serving ``work`` moves the tag on by ``work / weight``. Work is counted in
-milliseconds of one concurrency slot, so that one long answer weighs as much
-as many short ones.
+This is start-time fair queueing. Each customer with waiting requests has a
+tag, the virtual time at which its next request starts. The lowest tag goes
+next, and serving ``work`` advances the tag by ``work / weight``. Work is
+measured in ms of one concurrency slot, so one long answer counts as much as
+many short ones.
 
-Load: ten customers, a few of them large, whose bursts together exceed what
-the endpoints can do. Harm prevented: in one common queue the burst of a
-large customer makes every small one wait for all of it.
+Used where the bursts of ten customers, a few of them large, together exceed
+the endpoints' capacity. In one common queue, the burst of a large customer
+would make every small one wait for all of it.
 """
 
 import heapq
@@ -16,13 +16,13 @@
 
 import attrs
 
-# A customer that was idle may be this many of its requests ahead of its turn.
-# Arrivals of one that keeps within its share still come in clumps; without
-# it the second of a clump waits a whole turn, which is seconds for a small
-# weight. What it takes ahead it pays back with its next turns.
+# A customer that was idle may be ahead of its turn by this many of its
+# requests. Even a customer that keeps within its share sends requests in
+# clusters; without the credit, the second of a cluster waits a whole turn,
+# which is seconds for a small weight. Its next turns repay what it took ahead.
 IDLE_CREDIT = 6.0
-# An idle customer's tag is kept until the queue's own time has passed it;
-# this bounds how many are kept for customers that do not come back.
+# An idle customer's tag is kept until the queue's virtual time has passed it.
+# This bounds the number of tags kept for customers that do not return.
 MAX_IDLE_FLOWS = 1_024
 
 
@@ -30,8 +30,8 @@
 class WaitingRequest:
     """A waiting request.
 
-    ``work`` is the expected time on a slot in ms. ``latest_start_ms`` is
-    the last moment at which a start can still meet the deadline. A higher
+    ``work`` is its expected slot time in ms. ``latest_start_ms`` is the latest
+    time at which it can start and still meet its deadline. A higher
     ``priority`` goes first, but only among the customer's own requests.
     """
 
@@ -46,7 +46,7 @@
 
 @attrs.define
 class Flow:
-    """One customer's waiting requests and its place in virtual time."""
+    """One customer's waiting requests and its position in virtual time."""
 
     weight: float
     tag: float = 0.0
@@ -70,9 +70,9 @@
 def push(queue: FairQueue, item: WaitingRequest) -> None:
     """Add a request.
 
-    A customer that was idle starts at the queue's own time, but for a small
-    credit: it is owed nothing more for the time it did not use, or a long
-    idle one could take every slot when it wakes.
+    A customer that was idle starts at the queue's virtual time, less a small
+    credit. It gets no further compensation for the time it did not use;
+    otherwise one that was idle for long could take every slot on its return.
     """
     flow = queue.flows.get(item.customer)
     if flow is None:
@@ -98,15 +98,15 @@
     flow = queue.flows.get(item.customer)
     if flow is not None and flow.count:
         return flow.tag
-    least = queue.virtual - IDLE_CREDIT * item.work / item.weight
-    return least if flow is None else max(flow.tag, least)
+    earliest = queue.virtual - IDLE_CREDIT * item.work / item.weight
+    return earliest if flow is None else max(flow.tag, earliest)
 
 
 def remove(queue: FairQueue, item: WaitingRequest) -> None:
-    """Take a request out of turn: its caller left or its time ran out.
+    """Remove a request out of turn: its caller left or its time ran out.
 
-    Its place is free at once, for the bounds too; the customer is not
-    charged for work that was not done.
+    Its place is free at once, also for the queue limits, and the customer is
+    not charged for work that was not done.
     """
     if not item.waiting:
         return
@@ -128,7 +128,7 @@
 
 
 def take(queue: FairQueue, item: WaitingRequest) -> None:
-    """Start a request: charge its customer and move the queue's time on."""
+    """Start a request: charge its customer and advance the virtual time."""
     flow = queue.flows[item.customer]
     remove(queue, item)
     queue.virtual = max(queue.virtual, flow.tag)
@@ -136,7 +136,7 @@
 
 
 def drop_idle_flows(queue: FairQueue) -> None:
-    """Drop customers that wait for nothing and are owed or owe nothing."""
+    """Drop customers with no waiting requests and no credit or debt."""
     idle = [
         name
         for name, flow in queue.flows.items()
--- a/src/carawayward/decisions/retry_budget.py
+++ b/src/carawayward/decisions/retry_budget.py
@@ -1,21 +1,21 @@
-"""How many runs beyond the first of each request may reach a service.
+"""How many runs beyond the first of each request a service may get.
 
-Load: a pool of which a part fails or sheds, so that many requests want a
-second run at once, beside the runs that escalate to a larger model. Failure
-prevented: second runs fill what is left of the pool.
+When part of a pool fails or sheds load, many requests want a second run at
+once, on top of the runs that escalate to a larger model. Unbounded, second
+runs would use up what is left of the pool.
 
-The bound holds for all entry VMs together: each keeps to the ratio of its own
-requests, and to a small part of the slack, so that nobody has to be asked.
+The bound holds for all entry VMs together without communication: each keeps to
+the ratio of its own requests and to its part of the slack.
 """
 
 import collections
 
 import attrs
 
-# The window is cut into slices, so that old counts leave one at a time.
+# The window is divided into slices, so that old counts expire one at a time.
 SLICES = 20
-# Kept clear of the bound: what another entry VM counts a moment earlier or
-# later moves between windows.
+# Margin below the bound, since what another entry VM counts a moment earlier
+# or later falls into a different window.
 HEADROOM = 0.85
 
 
@@ -23,7 +23,7 @@
 class RetryBudget:
     """Counts of one service in a sliding window; times in ms.
 
-    ``vms`` is among how many entry VMs the slack is split.
+    ``vms`` is the number of entry VMs among which the slack is split.
     """
 
     window_ms: float = 10_000.0
@@ -41,12 +41,14 @@
 
 
 def may_spend(runs: RetryBudget, now_ms: float, reserve: float = 0.0) -> bool:
-    """Whether one more run fits; ``reserve`` is a part kept for others."""
+    """Whether one more run fits; ``reserve`` is a part kept for other uses."""
     _find_slice(runs, now_ms)
     requests = sum(each[1] for each in runs.slices)
     extra = sum(each[2] for each in runs.slices)
-    most = HEADROOM * (runs.ratio * requests + runs.slack / max(1, runs.vms))
-    return extra + 1 <= most * (1.0 - reserve)
+    max_extra = HEADROOM * (
+        runs.ratio * requests + runs.slack / max(1, runs.vms)
+    )
+    return extra + 1 <= max_extra * (1.0 - reserve)
 
 
 def spend(runs: RetryBudget, now_ms: float) -> None:
@@ -55,7 +57,7 @@
 
 
 def _find_slice(runs: RetryBudget, now_ms: float) -> list[float]:
-    """The slice of this moment: when it began, requests, extra runs."""
+    """The current slice: its start, requests, extra runs."""
     oldest = now_ms - runs.window_ms
     while runs.slices and runs.slices[0][0] < oldest:
         runs.slices.popleft()
--- a/src/carawayward/decisions/rollout.py
+++ b/src/carawayward/decisions/rollout.py
@@ -1,10 +1,10 @@
-"""Stages of a roll-out: a fold of the log that every entry VM shares.
+"""Stages of a roll-out: a fold over the log that every entry VM shares.
 
-A roll-out is interrupted by anything: the entry VM that advanced it is
-replaced, its append's answer is lost, two append at once. Each advance
-therefore names as its base the record that the last step took effect with;
-of two with one base the first in the log counts. Whoever is alive goes on
-from what the log says, and no step is ever taken twice.
+A roll-out can be interrupted at any point: the entry VM that advanced it is
+replaced, the response to its append is lost, or two append at once. Each
+advance therefore names as its base the record of the last step that took
+effect; if two name the same base, the first in the log counts. Any remaining
+entry VM continues from the state of the log, and no step is taken twice.
 """
 
 import typing
@@ -16,7 +16,7 @@
 
 @attrs.frozen(kw_only=True)
 class Advance:
-    """The wish to enter ``stage``; stage 0 begins the roll-out."""
+    """A request to enter ``stage``; stage 0 begins the roll-out."""
 
     rollout: str
     base: int
@@ -27,7 +27,7 @@
 
 @attrs.frozen(kw_only=True)
 class Halt:
-    """A roll-out has been found bad; holds whatever its place."""
+    """A roll-out was found bad; valid wherever it stands in the log."""
 
     rollout: str
     generation: int
@@ -37,7 +37,7 @@
 
 @attrs.frozen(kw_only=True)
 class Resume:
-    """An operator lets a halted roll-out go on at ``stage``."""
+    """An operator lets a halted roll-out continue at ``stage``."""
 
     rollout: str
     base: int
@@ -47,12 +47,12 @@
 
 @attrs.frozen(kw_only=True)
 class Progress:
-    """Where one roll-out stands.
+    """State of one roll-out.
 
-    ``base`` is the offset of the record that brought it here, ``begun_ms``
-    the log's time of the record that began this generation, ``since_ms``
-    that of the stage. ``generation`` counts the resumptions; a halt holds
-    for its generation and all before.
+    ``base`` is the offset of the record that led to this state, ``begun_ms``
+    the log time of the record that began this generation, ``since_ms`` that of
+    the stage. ``generation`` counts the resumptions; a halt applies to its own
+    generation and all earlier ones.
     """
 
     base: int = 0
@@ -65,7 +65,7 @@
 
 @attrs.frozen(kw_only=True)
 class Snapshot:
-    """A copy of a reader's fold, for when old records are gone."""
+    """A copy of a reader's state, used when old records are gone."""
 
     as_of: int
     progress: dict[str, Progress]
@@ -76,7 +76,7 @@
 
 @attrs.frozen(kw_only=True)
 class RolloutLog:
-    """The fold of the stream; ``known`` as in the configuration's fold."""
+    """State of the fold; ``known`` as in the configuration's fold."""
 
     known: bool
     read_to: int = 0
@@ -92,23 +92,23 @@
 def apply_record(
     state: RolloutLog, offset: int, at_ms: int, record: Record
 ) -> RolloutLog:
-    """Fold one record; offsets must rise."""
+    """Apply one record; offsets must increase."""
     if offset <= state.read_to:
         return state
     state = attrs.evolve(state, read_to=offset)
     if isinstance(record, Snapshot):
-        return _adopt(state, record)
+        return _apply_snapshot(state, record)
     if not state.known:
         pending = (*state.pending, (offset, at_ms, record))
         return attrs.evolve(state, pending=pending)
-    return _step(state, offset, at_ms, record)
+    return _apply_known(state, offset, at_ms, record)
 
 
-def _adopt(state: RolloutLog, snapshot: Snapshot) -> RolloutLog:
-    """Take a snapshot if this reader knows nothing yet.
+def _apply_snapshot(state: RolloutLog, snapshot: Snapshot) -> RolloutLog:
+    """Take over a snapshot if this reader has no state yet.
 
-    What was read before it and lies past its ``as_of`` is folded on top;
-    without that a slow writer's snapshot would undo a halt.
+    Records read before the snapshot but past its ``as_of`` are applied on top;
+    without that, the snapshot of a slow writer would undo a halt.
     """
     if state.known:
         return state
@@ -117,11 +117,11 @@
     )
     for offset, at_ms, record in state.pending:
         if offset > snapshot.as_of:
-            adopted = _step(adopted, offset, at_ms, record)
+            adopted = _apply_known(adopted, offset, at_ms, record)
     return adopted
 
 
-def _step(
+def _apply_known(
     state: RolloutLog, offset: int, at_ms: int, record: Record
 ) -> RolloutLog:
     assert not isinstance(record, Snapshot)
@@ -132,8 +132,8 @@
                 return state
             changed = attrs.evolve(known, base=offset, halted=record.reason)
         case Advance():
-            following = record.stage == known.stage + 1
-            if known.halted or record.base != known.base or not following:
+            is_next = record.stage == known.stage + 1
+            if known.halted or record.base != known.base or not is_next:
                 return state
             begun = at_ms if record.stage == 0 else known.begun_ms
             changed = attrs.evolve(
@@ -158,7 +158,7 @@
 
 
 def make_snapshot(state: RolloutLog) -> Snapshot | None:
-    """A snapshot of what a reader knows; None if it knows nothing."""
+    """A snapshot of a reader's state; ``None`` if it has none."""
     if not state.known:
         return None
     return Snapshot(as_of=state.read_to, progress=state.progress)
@@ -173,10 +173,10 @@
 ) -> bool:
     """Whether the next stage may begin.
 
-    ``good_ratings`` are those of the unproven version since the roll-out
+    ``good_ratings`` counts those of the unproven version since the roll-out
     began; ``stage_ready`` says that enough endpoints have it loaded. Dwell
-    alone proves nothing when nobody called; ratings alone may all be of
-    one quiet minute. Both are asked for.
+    time alone proves nothing if there were no calls, and ratings alone may all
+    come from one quiet minute, so both are required.
     """
     if progress.halted or progress.stage >= len(declared.stages):
         return False
@@ -193,12 +193,12 @@
 
 
 def encode(record: Record) -> dict:
-    """Form of a record in the log and between peers."""
+    """A record as it is written to the log and sent between peers."""
     return {"kind": type(record).__name__.lower(), **attrs.asdict(record)}
 
 
 def decode(data: object) -> Record | None:
-    """Read a record of the log; None for one that makes no sense."""
+    """Decode a record of the log; ``None`` if it is invalid."""
     if not isinstance(data, dict):
         return None
     kinds: dict[str, typing.Callable[..., Record]] = {
--- a/src/carawayward/decisions/session.py
+++ b/src/carawayward/decisions/session.py
@@ -1,4 +1,4 @@
-"""Whether a session can go on with the versions that it is settled on."""
+"""Whether a session can continue with the versions that it is pinned to."""
 
 import typing
 
@@ -12,16 +12,17 @@
     pins: typing.Mapping[str, str],
     fresh: bool,
 ) -> str | None:
-    """The session's version that may not serve it any more, if there is one.
+    """The pinned version that may no longer serve the session, if any.
 
-    Made for withdrawals amid long sessions. Going on with what is left of
+    Versions are withdrawn during long sessions. Continuing with the rest of
     the cascade would move a narrative to another version half way, so one
-    lost version of the task's cascade ends the session for that task. On a
-    cut-off node a version's own declaration may say that it stops there.
+    unavailable version of the task's cascade ends the session for that task. A
+    version's declaration may say that it stops on a node that is cut off.
     """
     for name in task.cascade:
         pinned = pins.get(name)
-        # An empty name stands for no version: there is none to lose.
+        # An empty name means that there is no version, so none can be
+        # unavailable.
         if not pinned or name not in models:
             continue
         version = next(
@@ -38,11 +39,12 @@
     versions: typing.Mapping[str, declaration.Version],
     fresh: bool,
 ) -> str | None:
-    """The first version of a plan that may not start work here just now.
+    """The first version of a plan that may not start work here now.
 
-    What the session is settled on has been judged by ``find_unavailable_pin``.
-    Checked for each request on a node that is cut off: its operators said
-    that no answer is better there than one of this version.
+    Versions that the session is pinned to have been checked by
+    ``find_unavailable_pin``. Checked for each request on a node that is cut
+    off: the version's operators declared that there no answer is better than
+    one from this version.
     """
     settled = set(pins.values())
     for name in wanted:
--- a/src/carawayward/decisions/turns.py
+++ b/src/carawayward/decisions/turns.py
@@ -1,9 +1,8 @@
-"""When one of many entry VMs that all see the same thing to do should do it.
+"""Staggers writes that many entry VMs find necessary at the same time.
 
-Load: several hundred entry VMs find within a moment that a roll-out's status
-has to be written. Failure prevented: all of them read and write at once, of
-which one write succeeds; or, while the store is away, all of them try again
-in step.
+Several hundred entry VMs notice within a moment that a roll-out's status has
+to be written. Without turns, all of them would read and write at once although
+only one write can succeed, or, while the store is down, retry in step.
 """
 
 import math
@@ -13,10 +12,10 @@
 
 # Time for a write, and for its record to reach the others.
 TURN_MS = 200.0
-# Turns that fit into the time left: those of several hundred entry VMs, and as
-# long again for the writes.
+# Turns that fit into the remaining time: those of several hundred entry VMs,
+# and as long again for the writes.
 TURNS_LEFT = 16.0
-# Pauses after failed writes double up to the longest.
+# Back-off after failed writes, doubled up to the maximum.
 INITIAL_BACKOFF_MS = 800.0
 MAX_BACKOFF_MS = 6_400.0
 
@@ -27,12 +26,12 @@
     subject: str,
     left_ms: float = math.inf,
 ) -> float:
-    """How long ``own`` leaves a write to others among ``names``, in ms.
+    """How long ``own`` waits for others among ``names`` to write, in ms.
 
-    Each turn has twice as many writers as the one before, so that few write
-    where all is well, and a large part of them may be gone without a delay
-    that grows with their number. Turns are shorter where the write has to be
-    done within ``left_ms``; once that is over they are as long as ever.
+    Each turn has twice as many writers as the one before. Few therefore write
+    when all are healthy, and if many of them are gone the delay does not grow
+    with their number. Turns are shorter if the write has to be done within
+    ``left_ms``; once that time is over they have their full length again.
     """
     turn_ms = TURN_MS
     if left_ms > 0.0:
@@ -47,7 +46,7 @@
 
 
 def compute_backoff_ms(failures: int, own: str) -> float:
-    """The pause after so many failed writes in a row, in ms."""
+    """The pause after ``failures`` consecutive failed writes, in ms."""
     pause_ms = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** (failures - 1))
     jitter = placement.hash_key(f"{own}/{failures}") / 2.0**64
     return pause_ms * (0.5 + 0.5 * jitter)
