--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,8 +1,8 @@
-"""The decisions under load: ``./build.sh bench decisions``.
+"""Benchmark of the load-dependent decisions: ``./build.sh bench decisions``.
 
 Runs every load of the suite with every policy, three seeds each, and writes
-tables and plots to bench/results/. Nothing of it depends on the machine but
-the times for one decision.
+tables and plots to bench/results/. Apart from the times for one decision, the
+results do not depend on the machine.
 """
 
 import concurrent.futures
@@ -29,15 +29,16 @@
 LEGEND = """\
 10 engines of 8 slots, 8 entry VMs in 4 failure domains, 10 customers of
 whom two have weight 4; virtual time, 16 s measured after 4 s, mean of seeds
-1 to 3. Small customers ask for 0.7 of their share, the large ones for the
-rest. In time: answered before the deadline of 3 s, refused ones count as
-not. p50 and p99 over all that were let in, late ones at their deadline.
-Goodput: tokens of whole answers over what the engines can make. Equal
-shares: the lower of the two large customers' work over the higher. Told
-true: of callers that came back when told, the share then answered in time.
-Wasted: runs whose answer nobody got. Load: the busiest engine's mean load
-over the mean of all. Hits: over the best possible with one common cache.
-Kills: engines crashed, the most of the three seeds.
+1 to 3. Small customers request 0.7 of their share, the large ones the rest.
+In time: share answered before the deadline of 3 s; refused requests count
+as not in time. p50 and p99: latency of all admitted requests, late ones
+counted at their deadline. Goodput: tokens of complete answers over the
+engines' capacity. Equal shares: the lower of the two large customers' work
+over the higher. Told true: of callers that retried at the given time, the
+share then answered in time. Wasted: runs whose answer reached nobody. Load:
+the busiest engine's mean load over the mean of all. Hits: cache hits over
+the best possible with one shared cache. Kills: engines crashed, the maximum
+of the three seeds.
 """
 
 
@@ -73,7 +74,7 @@
 
 
 def make_goals(means: Means, timings: list[rig_timing.Timing]) -> str:
-    """The goals and what was measured, met or missed."""
+    """The table of goals with measured values, met or missed."""
     twice = means["saturation 2x", "own"]
     calm = means["calm (0.7x)", "own"].p99
     slow = means["one slow endpoint", "own"].p99
@@ -113,7 +114,7 @@
 
 
 def make_table(means: Means, scenario: str, policies: list[str]) -> str:
-    """One load's table."""
+    """The table of one load."""
     rows = [f"## {scenario}\n", HEADER.rstrip()]
     for policy in policies:
         r = means[scenario, policy]
@@ -129,7 +130,7 @@
 
 
 def make_timing_table(timings: list[rig_timing.Timing]) -> str:
-    """The times for one decision."""
+    """The table of times for one decision."""
     rows = [
         "## Time for one decision\n",
         "Admission, queueing and placement of one request with a prefix key, "
@@ -146,7 +147,7 @@
 
 
 def draw_plots(means: Means) -> None:
-    """Draw goodput over demand and p99 over the lag of reports."""
+    """Plot goodput over demand and p99 over the lag of load reports."""
     matplotlib.use("Agg")
     policies = [p.name for p in rig_suite.make_policies(())]
     figure, axes = plt.subplots(1, 2, figsize=(9, 3.2), sharex=True)
@@ -165,8 +166,8 @@
     lags = rig_suite.make_lag_suite()
     for policy in policies:
         found = [means[scenario.name, policy] for scenario in lags]
-        seconds = [scenario.lag_ms / 1000 for scenario in lags]
-        axis.plot(seconds, [r.p99 for r in found], label=policy)
+        lags_s = [scenario.lag_ms / 1000 for scenario in lags]
+        axis.plot(lags_s, [r.p99 for r in found], label=policy)
     axis.set(xlabel="lag of load reports, s", ylabel="p99, ms")
     axis.legend(fontsize=7)
     figure.tight_layout()
--- a/src/carawayward/decisions/placement.py
+++ b/src/carawayward/decisions/placement.py
@@ -1,10 +1,10 @@
 """Which endpoint runs a request.
 
 This entry VM knows its own requests in flight on an endpoint exactly, and
-everyone else's from the endpoint's reports, late. Endpoints are chosen by the
-own requests and by latency. Reports only bound how many requests affinity may
-concentrate on one endpoint; choosing by them was tried and removed, since
-entry VMs that act on the same late report all move at once.
+everyone else's from the endpoint's reports, late. Endpoints are chosen by this
+entry VM's own requests and by latency. Reports only bound how many requests
+affinity may concentrate on one endpoint; choosing by them was tried and
+removed, since entry VMs that act on the same late report all move at once.
 """
 
 import bisect
@@ -30,8 +30,8 @@
 # Points of an endpoint on the ring: with 64 the shares of the key space differ
 # by an eighth, with one by several times.
 RING_POINTS = 64
-# Number of endpoints whose points are cached: twice the largest supported
-# fleet.
+# Number of endpoints whose points are cached: twice the largest number of
+# endpoints aimed for.
 MAX_POINTS_CACHED = 2_048
 # Smoothing of reports: lasting load (an endpoint that others use more) shows,
 # fluctuation between reports does not.
@@ -92,9 +92,9 @@
                 for view in known
                 for point in find_points(view.name)
             ),
-            key=lambda place: place[0],
+            key=lambda point_and_view: point_and_view[0],
         )
-        points = [place[0] for place in ring]
+        points = [point_and_view[0] for point_and_view in ring]
         return cls(known, by_domain, outside_domain, ring, points)
 
 
--- a/tests/cover/test_decisions_endpoints.py
+++ b/tests/cover/test_decisions_endpoints.py
@@ -1,4 +1,4 @@
-"""Limits, health, placement and retries, one decision at a time."""
+"""Single decisions on limits, health, placement and retries."""
 
 import random
 
@@ -10,11 +10,13 @@
 from carawayward.decisions import placement
 from carawayward.decisions import retry
 
-FIXED = hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
+DETERMINISTIC = hypothesis.settings(
+    derandomize=True, deadline=None, max_examples=60
+)
 
 
-def place(found, key, domain, draw):
-    view = placement.choose(found, key, domain, 0.0, draw)
+def choose_endpoint(candidates, key, domain, draw):
+    view = placement.choose(candidates, key, domain, 0.0, draw)
     assert view is not None
     return view
 
@@ -30,14 +32,14 @@
     ]
 
 
-@FIXED
+@DETERMINISTIC
 @hypothesis.given(
     strategies.lists(
         strategies.one_of(strategies.floats(0.1, 1e4), strategies.none()),
         max_size=200,
     )
 )
-def test_limit_stays_within_its_bounds_whatever_comes(answers):
+def test_limit_stays_within_its_bounds_for_any_answers(answers):
     limit = limits.Limit()
     for unit_ms in answers:
         if unit_ms is None:
@@ -49,12 +51,12 @@
 
 def test_limit_rises_while_it_is_used_and_settles_where_latency_grows():
     limit = limits.Limit()
-    seen = []
+    values = []
     for _ in range(4_000):
         in_flight = int(limit.value)
         limits.record_answer(limit, max(1.0, in_flight / 16.0), in_flight)
-        seen.append(limit.value)
-    assert all(12.0 <= value <= 34.0 for value in seen[1_000:])
+        values.append(limit.value)
+    assert all(12.0 <= value <= 34.0 for value in values[1_000:])
 
 
 def test_limit_that_is_not_used_does_not_rise():
@@ -64,7 +66,7 @@
     assert limit.value <= 4.0
 
 
-def test_entry_vms_with_unequal_limits_on_one_endpoint_become_equal():
+def test_unequal_limits_of_entry_vms_on_one_endpoint_converge():
     shared = [limits.Limit(value=30.0, starting=False), limits.Limit()]
     for _ in range(6_000):
         total = sum(int(limit.value) for limit in shared)
@@ -76,7 +78,7 @@
     assert 0.5 < first / second < 2.0
 
 
-@FIXED
+@DETERMINISTIC
 @hypothesis.given(
     size=strategies.integers(1, 20),
     steps=strategies.lists(
@@ -84,22 +86,22 @@
         max_size=200,
     ),
 )
-def test_never_more_than_half_of_a_pool_is_ejected(size, steps):
+def test_at_most_half_of_a_pool_is_ejected(size, steps):
     pool = [health.Health() for _ in range(size)]
-    for now, (index, well) in enumerate(steps):
-        one = pool[index % size]
-        if health.accepts_request(one, float(now), 0):
-            health.begin_probe(one)
-        if well:
-            health.record_success(one, 1.0)
+    for now, (index, healthy) in enumerate(steps):
+        endpoint = pool[index % size]
+        if health.accepts_request(endpoint, float(now), 0):
+            health.begin_probe(endpoint)
+        if healthy:
+            health.record_success(endpoint, 1.0)
         else:
-            health.record_failure(one)
-            health.eject_if_outlier(one, pool, float(now))
-        out = sum(h.state is not health.State.ACTIVE for h in pool)
-        assert out <= size / 2
+            health.record_failure(endpoint)
+            health.eject_if_outlier(endpoint, pool, float(now))
+        ejected = sum(h.state is not health.State.ACTIVE for h in pool)
+        assert ejected <= size / 2
 
 
-def test_ejected_endpoint_comes_back_by_one_probe_at_a_time():
+def test_ejected_endpoint_is_probed_one_request_at_a_time():
     pool = [health.Health() for _ in range(4)]
     for _ in range(health.FAILURES_IN_A_ROW):
         health.record_failure(pool[0])
@@ -117,16 +119,18 @@
     assert pool[0].state is health.State.ACTIVE
 
 
-def test_slow_endpoint_is_an_outlier_and_a_slow_pool_is_not():
+def test_slow_endpoint_is_an_outlier_but_a_slow_pool_is_not():
     pool = [health.Health() for _ in range(4)]
     for _ in range(health.MIN_SAMPLES):
-        for index, one in enumerate(pool):
-            health.record_success(one, 40.0 if index == 0 else 10.0)
+        for index, endpoint in enumerate(pool):
+            health.record_success(endpoint, 40.0 if index == 0 else 10.0)
     assert health.eject_if_outlier(pool[0], pool, 0.0)
-    assert not any(health.eject_if_outlier(one, pool, 0.0) for one in pool[1:])
+    assert not any(
+        health.eject_if_outlier(endpoint, pool, 0.0) for endpoint in pool[1:]
+    )
 
 
-@FIXED
+@DETERMINISTIC
 @hypothesis.given(
     seed=strategies.integers(0, 999),
     size=strategies.integers(1, 12),
@@ -138,11 +142,11 @@
 ):
     draw = random.Random(seed)
     views = make_views(size, limit=float(limit))
-    found = placement.Candidates.from_views(views)
+    candidates = placement.Candidates.from_views(views)
     placed = 0
     for number in range(size * limit + 5):
         key = placement.hash_key(f"p{number % 3}") if keyed else None
-        view = placement.choose(found, key, "a", 0.0, draw.randrange)
+        view = placement.choose(candidates, key, "a", 0.0, draw.randrange)
         if view is not None:
             view.in_flight += 1
             placed += 1
@@ -151,22 +155,22 @@
 
 
 def test_same_prefix_goes_to_the_same_endpoint_from_every_entry_vm():
-    homes = set()
+    chosen = set()
     for domain in "ab":
-        found = placement.Candidates.from_views(make_views(10))
+        candidates = placement.Candidates.from_views(make_views(10))
         key = placement.hash_key("prefix")
-        view = place(found, key, domain, lambda n: 0)
-        homes.add(view.name)
-    assert len(homes) == 1
+        view = choose_endpoint(candidates, key, domain, lambda n: 0)
+        chosen.add(view.name)
+    assert len(chosen) == 1
 
 
 def test_popular_prefix_does_not_overload_its_endpoint():
     views = make_views(10, domains=("a",))
-    found = placement.Candidates.from_views(views)
+    candidates = placement.Candidates.from_views(views)
     draw = random.Random(1)
     key = placement.hash_key("prefix")
     for _ in range(400):
-        view = place(found, key, "a", draw.randrange)
+        view = choose_endpoint(candidates, key, "a", draw.randrange)
         view.in_flight += 1
     loads = [view.in_flight for view in views]
     assert max(loads) <= placement.LOAD_BOUND * 40 + 3
@@ -174,16 +178,19 @@
 
 def test_work_stays_local_until_the_local_endpoints_are_much_busier():
     views = make_views(6)
-    found = placement.Candidates.from_views(views)
+    candidates = placement.Candidates.from_views(views)
     draw = random.Random(2)
     for _ in range(30):
-        view = place(found, None, "a", draw.randrange)
+        view = choose_endpoint(candidates, None, "a", draw.randrange)
         assert view.failure_domain == "a"
     for view in views:
         view.in_flight = 50 if view.failure_domain == "a" else 1
-    found.decisions = 0
-    went = [place(found, None, "a", draw.randrange) for _ in range(30)]
-    assert all(view.failure_domain == "b" for view in went)
+    candidates.decisions = 0
+    chosen = [
+        choose_endpoint(candidates, None, "a", draw.randrange)
+        for _ in range(30)
+    ]
+    assert all(view.failure_domain == "b" for view in chosen)
 
 
 def test_endpoint_that_fails_fast_looks_busy_rather_than_idle():
@@ -197,23 +204,23 @@
     assert first > second
 
 
-def test_load_that_others_lastingly_put_on_an_endpoint_moves_prefixes():
+def test_lasting_load_from_other_entry_vms_moves_prefixes():
     views = make_views(10)
     for view in views:
         view.in_flight = 4
-    found = placement.Candidates.from_views(views)
+    candidates = placement.Candidates.from_views(views)
     key = placement.hash_key("prefix")
-    home = place(found, key, "a", lambda n: 0)
-    placement.record_report(home, 8.0)
-    found.decisions = 0
-    assert place(found, key, "a", lambda n: 0) is home
+    preferred = choose_endpoint(candidates, key, "a", lambda n: 0)
+    placement.record_report(preferred, 8.0)
+    candidates.decisions = 0
+    assert choose_endpoint(candidates, key, "a", lambda n: 0) is preferred
     for _ in range(100):
-        placement.record_report(home, 8.0)
-    found.decisions = 0
-    assert place(found, key, "a", lambda n: 0) is not home
+        placement.record_report(preferred, 8.0)
+    candidates.decisions = 0
+    assert choose_endpoint(candidates, key, "a", lambda n: 0) is not preferred
 
 
-@FIXED
+@DETERMINISTIC
 @hypothesis.given(
     strategies.lists(
         strategies.tuples(strategies.booleans(), strategies.floats(0, 100)),
@@ -243,7 +250,7 @@
     assert not retry.may_retry(sent=True, repeatable=True, reached_caller=True)
 
 
-def test_hedge_waits_for_what_nearly_all_first_texts_need():
+def test_hedge_delay_exceeds_nearly_all_times_to_first_token():
     times = retry.TtftEstimate()
     assert retry.compute_hedge_delay(times) is None
     draw = random.Random(3)
--- a/tests/cover/test_decisions_queueing.py
+++ b/tests/cover/test_decisions_queueing.py
@@ -1,4 +1,4 @@
-"""Fair shares, truthful refusals, and nothing lost in the queue."""
+"""Fair shares, retry times that hold, and a queue that loses no requests."""
 
 import hypothesis
 from hypothesis import strategies
@@ -6,11 +6,15 @@
 from carawayward.decisions import admission
 from carawayward.decisions import queueing
 
-FIXED = hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
-FAR = 1e12
+DETERMINISTIC = hypothesis.settings(
+    derandomize=True, deadline=None, max_examples=60
+)
+FAR_FUTURE_MS = 1e12
 
 
-def make_item(customer, weight=1.0, work=100.0, latest=FAR, priority=0):
+def make_item(
+    customer, weight=1.0, work=100.0, latest=FAR_FUTURE_MS, priority=0
+):
     return queueing.WaitingRequest(
         customer=customer,
         weight=weight,
@@ -37,7 +41,7 @@
     return served
 
 
-@FIXED
+@DETERMINISTIC
 @hypothesis.given(
     weights=strategies.lists(
         strategies.sampled_from([0.5, 1.0, 2.0, 4.0]), min_size=2, max_size=8
@@ -46,31 +50,31 @@
         strategies.floats(10.0, 1_000.0), min_size=8, max_size=8
     ),
 )
-def test_backlogged_customers_get_work_by_weight_but_for_their_credit(
+def test_backlogged_customers_get_work_by_weight_except_for_credit(
     weights, works
 ):
     queue = queueing.FairQueue()
     names = [f"c{index}" for index in range(len(weights))]
     for name, weight, work in zip(names, weights, works, strict=False):
         push_many(queue, (name, weight, work, 400))
-    got = dict.fromkeys(names, 0.0)
+    served_work = dict.fromkeys(names, 0.0)
     for item in serve(queue, 200):
-        got[item.customer] += item.work
+        served_work[item.customer] += item.work
     shares = [
-        (got[name] / weight, work / weight)
+        (served_work[name] / weight, work / weight)
         for name, weight, work in zip(names, weights, works, strict=False)
     ]
     for share, step in shares:
         for other, other_step in shares:
-            most = (
+            max_lead = (
                 step
                 + other_step
                 + queueing.IDLE_CREDIT * max(step, other_step)
             )
-            assert share - other <= most + 1e-6
+            assert share - other <= max_lead + 1e-6
 
 
-@FIXED
+@DETERMINISTIC
 @hypothesis.given(
     strategies.lists(
         strategies.tuples(
@@ -81,7 +85,7 @@
         max_size=60,
     )
 )
-def test_counts_and_work_agree_with_what_waits(steps):
+def test_counts_and_work_match_the_waiting_requests(steps):
     queue = queueing.FairQueue()
     waiting = []
     for customer, priority, action in steps:
@@ -100,7 +104,7 @@
     assert len(serve(queue, 100)) == len(waiting)
 
 
-def test_small_customer_starts_before_the_rest_of_a_large_ones_burst():
+def test_small_customer_starts_before_the_rest_of_a_large_burst():
     queue = queueing.FairQueue()
     push_many(queue, ("large", 4.0, 100.0, 500))
     serve(queue, 50)
@@ -118,7 +122,7 @@
     assert [item.customer for item in served].count("b") == 2
 
 
-def test_idle_customer_saves_up_no_more_than_its_credit():
+def test_idle_customer_gains_no_more_than_its_credit():
     queue = queueing.FairQueue()
     push_many(queue, ("busy", 1.0, 100.0, 100))
     serve(queue, 50)
@@ -128,7 +132,7 @@
     assert 0 <= ahead <= queueing.IDLE_CREDIT + 1
 
 
-def test_customer_with_longer_answers_gets_as_many_fewer_of_them():
+def test_customer_with_longer_answers_gets_proportionally_fewer():
     queue, times = queueing.FairQueue(), admission.ServiceTimes()
     for _ in range(20):
         admission.record_service_time(times, "long", 300.0)
@@ -140,70 +144,72 @@
     assert 2.5 < served.count("short") / served.count("long") < 3.5
 
 
-def admit(queue, item, now, rate, promises, places=1_000):
+def admit(queue, item, now, rate, retries, queue_limit=1_000):
     refusal = admission.check_admission(
-        queue, item, now, rate, places, promises
+        queue, item, now, rate, queue_limit, retries
     )
     if refusal is None:
         queueing.push(queue, item)
     return refusal
 
 
-@FIXED
+@DETERMINISTIC
 @hypothesis.given(
     burst=strategies.integers(1, 500),
     weight=strategies.sampled_from([1.0, 4.0]),
     rate=strategies.floats(1.0, 50.0),
 )
-def test_small_customer_is_not_refused_for_a_large_ones_burst(
+def test_small_customer_is_not_refused_during_a_large_burst(
     burst, weight, rate
 ):
-    queue, promises = queueing.FairQueue(), admission.RetrySchedule()
+    queue, retries = queueing.FairQueue(), admission.RetrySchedule()
     for _ in range(burst):
         admit(
             queue,
             make_item("large", weight, latest=2_000.0),
             0.0,
             rate,
-            promises,
-            places=100,
+            retries,
+            queue_limit=100,
         )
     small = make_item("small", 1.0, latest=100.0 * (weight + 1.0) / rate)
-    assert admit(queue, small, 0.0, rate, promises) is None
+    assert admit(queue, small, 0.0, rate, retries) is None
 
 
-@FIXED
+@DETERMINISTIC
 @hypothesis.given(
     extra=strategies.integers(1, 30),
     slots=strategies.integers(1, 8),
     other=strategies.booleans(),
 )
-def test_caller_that_comes_back_when_told_is_admitted(extra, slots, other):
-    queue, promises = queueing.FairQueue(), admission.RetrySchedule()
+def test_caller_that_retries_after_the_given_time_is_admitted(
+    extra, slots, other
+):
+    queue, retries = queueing.FairQueue(), admission.RetrySchedule()
     if other:
         push_many(queue, ("other", 1.0, 100.0, 400))
-    told: list[float] = []
-    while len(told) < extra:
+    retry_times: list[float] = []
+    while len(retry_times) < extra:
         refusal = admit(
             queue,
             make_item("c", latest=1_000.0),
             0.0,
             float(slots),
-            promises,
+            retries,
         )
         if refusal is not None:
-            told.append(refusal.retry_after_ms)
-    assert told == sorted(told)
+            retry_times.append(refusal.retry_after_ms)
+    assert retry_times == sorted(retry_times)
     now = 0.0
-    for due in told:
+    for due in retry_times:
         while now < due:
             serve(queue, slots)
             now += 100.0
         late = make_item("c", latest=now + 1_000.0)
-        assert admit(queue, late, now, float(slots), promises) is None
+        assert admit(queue, late, now, float(slots), retries) is None
 
 
-def test_deadline_that_no_wait_can_meet_gives_no_time_to_come_back():
+def test_deadline_that_cannot_be_met_gives_no_retry_time():
     refusal = admission.check_admission(
         queueing.FairQueue(),
         make_item("c", latest=-1.0),
@@ -217,7 +223,7 @@
     assert refusal.retry_after_ms is None
 
 
-def test_runs_cut_off_are_learned_from_but_leave_room_to_try():
+def test_runs_cut_off_raise_the_estimate_but_leave_time_for_new_runs():
     times = admission.ServiceTimes()
     for _ in range(50):
         admission.record_service_time(times, "c", 3_000.0)
--- a/tests/cover/test_evidence.py
+++ b/tests/cover/test_evidence.py
@@ -1,4 +1,4 @@
-"""Evidence merges in any order, and its bounds are honest."""
+"""Counters merge in any order, and their confidence bounds hold."""
 
 import random
 
@@ -23,8 +23,8 @@
 deliveries = strategies.lists(strategies.tuples(cells, counts), max_size=12)
 
 
-def fold(sent) -> evidence.Evidence:
-    """Evidence after merging what was sent, in that order."""
+def merge_all(sent) -> evidence.Evidence:
+    """Evidence after merging the sent counters in this order."""
     merged = evidence.Evidence()
     for cell, count in sent:
         merged.merge(cell, count)
@@ -33,40 +33,40 @@
 
 @hypothesis.settings(derandomize=True, max_examples=100)
 @hypothesis.given(deliveries, strategies.randoms(use_true_random=False))
-def test_any_order_and_repetition_of_messages_gives_the_same(sent, draw):
+def test_any_order_and_repetition_of_messages_gives_equal_totals(sent, draw):
     """Peers lose, repeat and reorder messages; totals must agree."""
     again = [*sent, *sent]
     draw.shuffle(again)
-    first, second = fold(sent), fold(again)
+    first, second = merge_all(sent), merge_all(again)
     assert first.cells == second.cells
     assert evidence.sum_epochs(first, lambda _: True) == evidence.sum_epochs(
         second, lambda _: True
     )
 
 
-def test_old_epochs_are_forgotten_and_memory_is_bounded():
+def test_old_epochs_are_dropped_and_memory_is_bounded():
     """A long-lived entry VM keeps no more than a day of small counters."""
-    kept = evidence.Evidence()
+    merged = evidence.Evidence()
     for epoch in range(3 * evidence.KEPT_EPOCHS):
-        kept.add("a", epoch, KEY, good=True)
-        kept.forget(epoch)
-    assert len(kept.cells) <= evidence.KEPT_EPOCHS + 1
-    assert len(kept.totals[KEY]) == len(kept.cells)
+        merged.add("a", epoch, KEY, good=True)
+        merged.forget(epoch)
+    assert len(merged.cells) <= evidence.KEPT_EPOCHS + 1
+    assert len(merged.totals[KEY]) == len(merged.cells)
 
 
 def test_three_good_ratings_prove_little():
-    """A few lucky ratings must not send all traffic to the cheap model."""
+    """A few good ratings must not send all traffic to the cheap model."""
     assert evidence.compute_lower_bound(1.0, 3, 0.05) < 0.4
     assert evidence.compute_lower_bound(0.0, 0, 0.05) == 0.0
 
 
-def test_share_that_rounding_put_above_one_has_a_bound():
-    """Found by bench quality: a plan whose parts were all good crashed."""
+def test_share_rounded_above_one_has_a_bound():
+    """A plan whose parts were all rated good crashed in ``bench quality``."""
     assert evidence.compute_lower_bound(1.0000000000000002, 50, 0.05) > 0.9
 
 
-def test_bounds_miss_the_true_rate_no_more_often_than_they_say():
-    """2,000 seeded samples of 5 to 200 ratings; at most 5% may miss."""
+def test_bounds_fail_no_more_often_than_stated():
+    """2,000 seeded samples of 5 to 200 ratings; the bound may fail in 5%."""
     draw = random.Random(11)
     misses = 0
     for _ in range(2_000):
@@ -78,8 +78,8 @@
     assert misses <= 0.05 * 2_000
 
 
-def test_recent_ratings_count_for_more():
-    """A version that turned bad an hour ago is not excused by its past."""
+def test_recent_ratings_weigh_more():
+    """A version that turned bad an hour ago is not saved by older ratings."""
     epochs = {0: evidence.Count(good=100), 24: evidence.Count(bad=100)}
     now = evidence.decay(epochs, 24)
     assert now.bad > 3 * now.good
--- a/tests/cover/test_exposure.py
+++ b/tests/cover/test_exposure.py
@@ -1,4 +1,4 @@
-"""Budgets bound what is unproven; the test halts, and seldom wrongly."""
+"""Budgets bound unproven answers; the halt test has few false alarms."""
 
 import random
 
@@ -25,8 +25,8 @@
     assert merge(one, one) == one
 
 
-def test_good_ratings_earn_back_and_never_more_than_was_spent():
-    """A long good time must not save up for a burst of bad answers."""
+def test_good_ratings_return_at_most_what_was_spent():
+    """A long good period must not save up budget for bad answers."""
     account = exposure.spend(exposure.ExposureAccount(), 3)
     for _ in range(10):
         account = exposure.earn(account)
@@ -34,15 +34,15 @@
     assert exposure.compute_remaining_budget(8, {"a": account}, "a") == 8
 
 
-def test_room_of_all_holders_is_never_more_than_the_budget():
-    """Holders that spend at once on old copies do not overspend."""
+def test_all_holders_together_never_exceed_the_budget():
+    """Holders that spend concurrently on old copies do not overspend."""
     for budget in range(12):
         for holders in range(1, 12):
             assert spend_all(budget, holders) == budget
 
 
 def spend_all(budget: int, holders: int) -> int:
-    """Answers given by holders that never hear of each other."""
+    """Answers given by holders that never receive each other's accounts."""
     given = 0
     for position in range(holders):
         own = exposure.ExposureAccount()
@@ -57,8 +57,8 @@
     return given
 
 
-def test_version_half_of_whose_answers_are_bad_runs_out_of_budget():
-    """Good ratings of a bad version must not keep it going for long."""
+def test_version_with_half_bad_answers_runs_out_of_budget():
+    """Good ratings of a bad version must not keep it running for long."""
     own, given = exposure.ExposureAccount(), 0
     while exposure.compute_remaining_budget(12, {"a": own}, "a") >= 1:
         own = exposure.spend(own, 1)
@@ -68,7 +68,7 @@
     assert given <= 40
 
 
-def test_number_of_holders_follows_the_share_and_not_the_domain():
+def test_number_of_holders_depends_on_the_share_not_the_domain():
     """One in a hundred sessions needs no more holders on 80 entry VMs."""
     names = [f"oduya-{number}" for number in range(40)]
     assert len(exposure.choose_holders(names, "sorter-4", 0.01, 9)) == 1
@@ -81,7 +81,7 @@
 
 
 def test_canary_gets_its_share_of_all_sessions():
-    """The few holders take more of theirs, so that the share is kept."""
+    """The few holders take more of theirs to reach the overall share."""
     taken = sum(
         exposure.is_assigned_to_canary(f"session-{n}", "sorter-4", 0.05, 8, 1)
         for n in range(8_000)
@@ -92,7 +92,7 @@
 def count_until_halt(draw, bad_from: int, rate: float, limit: int) -> int:
     """Ratings of the canary until it is halted; 0 if it is not.
 
-    Five ratings an epoch; the baseline's rate of bad answers is 5%.
+    There are five ratings an epoch; the baseline's rate of bad answers is 5%.
     """
     canary: dict[int, evidence.Count] = {}
     baseline: dict[int, evidence.Count] = {}
@@ -114,8 +114,8 @@
     assert 0 < count_until_halt(random.Random(1), 0, 1.0, 40) <= 6
 
 
-def test_version_that_breaks_after_a_long_good_time_is_halted_soon():
-    """300 good answers must not excuse those that follow."""
+def test_version_that_breaks_after_a_long_good_period_is_halted_soon():
+    """300 good answers must not outweigh the bad ones that follow."""
     halted = count_until_halt(random.Random(2), 300, 1.0, 400)
     assert 300 < halted <= 320
 
@@ -125,7 +125,7 @@
     assert 0 < count_until_halt(random.Random(3), 50, 0.25, 400) <= 300
 
 
-def test_version_that_is_no_worse_is_hardly_ever_halted():
+def test_version_that_is_no_worse_is_rarely_halted():
     """100 seeded roll-outs; the chance of one false halt is under half."""
     halted = sum(
         count_until_halt(random.Random(seed), 999, 0.05, 150) > 0
@@ -135,7 +135,7 @@
 
 
 def test_version_bad_for_one_customer_only_is_halted_and_named():
-    """A tenth of the traffic is all bad: 10% in the sum hides little."""
+    """A tenth of the traffic is all bad: 10% in the sum shows little."""
     good = {7: evidence.Count(60, 3)}
     groups = [
         exposure.Group("all", 7, {7: evidence.Count(60, 9)}, good),
@@ -150,8 +150,8 @@
     assert worst == "delta-hosts"
 
 
-def test_ratings_that_turn_harsher_for_every_version_halt_none():
-    """The service begins to call a third of all answers bad."""
+def test_ratings_that_become_harsher_for_every_version_halt_none():
+    """The ratings service starts to rate a third of all answers bad."""
     canary = {e: evidence.Count(19, 1) for e in range(7, 27)}
     baseline = {e: evidence.Count(190, 10) for e in range(7, 27)}
     canary |= {e: evidence.Count(13, 7) for e in range(27, 37)}
--- a/tests/cover/test_forwarding_retry_budget.py
+++ b/tests/cover/test_forwarding_retry_budget.py
@@ -1,4 +1,4 @@
-"""How many runs beyond the first of each request reach a service."""
+"""How many runs beyond the first of each request a service may get."""
 
 from carawayward.decisions import retry_budget
 
@@ -6,8 +6,8 @@
 def test_extra_runs_keep_to_the_ratio_in_every_window():
     """A pool fails every request for half a minute at 20 a second.
 
-    Whoever repeats each would double the load on what is left; in no
-    window do sixteen entry VMs together pass the deployment's bound.
+    Retrying each of them would double the load on the rest of the pool; in no
+    window may sixteen entry VMs together exceed the deployment's bound.
     """
     vms = [retry_budget.RetryBudget() for _ in range(16)]
     spent: list[float] = []
@@ -27,7 +27,7 @@
 def test_slack_is_shared_by_all_entry_vms():
     """A pool fails for all of 72 entry VMs, each with little traffic.
 
-    A sixteenth of the slack for each was four and a half times the slack.
+    A sixteenth of the slack for each gave four and a half times the slack.
     """
     vms = [retry_budget.RetryBudget(slack=184.0, vms=72) for _ in range(72)]
     spent = 0
@@ -38,7 +38,7 @@
     assert 72 <= spent <= 184
 
 
-def test_climbs_leave_extra_runs_for_failures():
+def test_escalations_leave_extra_runs_for_failures():
     """Half of the requests escalate; an endpoint fails in the same second."""
     runs = retry_budget.RetryBudget()
     for tick in range(100):
--- a/tests/cover/test_redirection.py
+++ b/tests/cover/test_redirection.py
@@ -1,19 +1,19 @@
-"""Whether callers do better at another entry VM."""
+"""Whether callers should go to another entry VM."""
 
 from carawayward.decisions import redirection
 
 
-def test_cut_of_one_failure_domain_sends_callers_to_the_others():
-    """Two more of the domain are stale too; those outside are not heard."""
+def test_partition_of_one_failure_domain_redirects_callers():
+    """Two others in the domain are stale; those outside cannot be reached."""
     assert redirection.others_may_serve(known=7, stale=2)
 
 
-def test_outage_of_the_store_sends_nobody_away():
-    """All others are stale as well; a repeat elsewhere would be lost."""
+def test_outage_of_the_store_redirects_nobody():
+    """All or most others are stale as well; a retry elsewhere would fail."""
     assert not redirection.others_may_serve(known=7, stale=7)
     assert not redirection.others_may_serve(known=7, stale=5)
 
 
-def test_lone_entry_vm_sends_nobody_away():
-    """There is nobody else."""
+def test_single_entry_vm_redirects_nobody():
+    """There is no other entry VM."""
     assert not redirection.others_may_serve(known=0, stale=0)
--- a/tests/cover/test_rollout.py
+++ b/tests/cover/test_rollout.py
@@ -1,4 +1,4 @@
-"""A roll-out is a fold of the log: one step at a time, halts for good."""
+"""A roll-out is a fold over the log: one step at a time, halts are final."""
 
 import itertools
 
@@ -26,7 +26,7 @@
 
 
 def fold(records, start=None) -> rollout.RolloutLog:
-    """Fold records at offsets 1, 2, 3, a second apart."""
+    """Apply records at offsets 1, 2, 3, one second apart."""
     state = start or rollout.start_reading(1)
     for offset, record in enumerate(records, state.read_to + 1):
         state = rollout.apply_record(state, offset, offset * 1_000, record)
@@ -34,7 +34,7 @@
 
 
 def advance(base: int, stage: int, node: str = "a") -> rollout.Advance:
-    """An entry VM's wish to go on."""
+    """An entry VM's request to enter a stage."""
     return rollout.Advance(rollout=NAME, base=base, stage=stage, node=node)
 
 
@@ -42,21 +42,21 @@
 
 
 def test_two_entry_vms_that_advance_at_once_advance_once():
-    """Both saw the evidence; the second record's base is gone."""
+    """Both saw the evidence; the second record's base is outdated."""
     state = fold([advance(0, 0), advance(1, 1, "a"), advance(1, 1, "b")])
     assert state.progress[NAME].stage == 1
     assert state.progress[NAME].base == 2
 
 
-def test_advance_taken_up_by_another_entry_vm_goes_on_from_the_log():
-    """The first one was replaced after its append; its answer was lost."""
+def test_another_entry_vm_continues_an_advance_from_the_log():
+    """The first one was replaced after its append and lost the response."""
     written = [advance(0, 0, "gone"), advance(1, 1, "gone")]
     state = fold([*written, advance(1, 1, "next"), advance(2, 2, "next")])
     assert rollout.is_done(DECLARED, state.progress[NAME])
 
 
-def test_halt_holds_whatever_follows_until_an_operator_resumes():
-    """An advance that was on its way when the halt was written is void."""
+def test_halt_holds_until_an_operator_resumes():
+    """An advance appended at the same time as the halt has no effect."""
     state = fold([advance(0, 0), HALT, advance(1, 1), advance(2, 1)])
     halted = state.progress[NAME]
     assert halted.halted == "bad" and halted.stage == 0
@@ -67,17 +67,17 @@
     assert not resumed.halted and resumed.generation == 1
 
 
-def test_halt_may_come_before_the_record_that_it_answers():
-    """Halts spread by peers also; their place in the log is any."""
+def test_halt_may_precede_the_records_of_its_roll_out():
+    """Halts also spread by peers, so they may stand anywhere in the log."""
     state = fold([HALT, advance(0, 0), advance(1, 0)])
     assert state.progress[NAME].halted
 
 
 def test_late_snapshot_does_not_undo_a_halt():
-    """A slow entry VM's copy says "running"; the halt is newer.
+    """A slow entry VM's snapshot says "running"; the halt is newer.
 
-    A newcomer whose log begins after the first records reads the halt
-    before it reads the snapshot.
+    A new reader whose log begins after the first records reads the halt before
+    it reads the snapshot.
     """
     before = fold([advance(0, 0)])
     snapshot = rollout.make_snapshot(before)
@@ -86,32 +86,32 @@
     assert state.progress[NAME].halted == "bad"
 
 
-def test_every_order_of_three_races_leaves_one_winner_per_step():
-    """Whatever order the log gives them, stages rise one at a time."""
-    racers = [advance(0, 0, "a"), advance(0, 0, "b"), HALT]
-    for order in itertools.permutations(racers):
+def test_every_order_of_three_records_takes_one_per_step():
+    """Whatever their order in the log, stages advance one at a time."""
+    records = [advance(0, 0, "a"), advance(0, 0, "b"), HALT]
+    for order in itertools.permutations(records):
         progress = fold(order).progress[NAME]
         assert progress.halted and progress.stage <= 0
 
 
-def test_dwell_and_ratings_are_both_needed():
-    """A quiet night proves nothing, nor does one busy second."""
+def test_dwell_and_ratings_are_both_required():
+    """A period without calls proves nothing, nor does one busy second."""
     progress = rollout.Progress(base=1, stage=0, since_ms=5_000)
-    ask = rollout.may_advance
-    assert not ask(DECLARED, progress, 5_900, 99, True)
-    assert not ask(DECLARED, progress, 9_000, 9, True)
-    assert not ask(DECLARED, progress, 9_000, 99, False)
-    assert ask(DECLARED, progress, 9_000, 10, True)
+    may_advance = rollout.may_advance
+    assert not may_advance(DECLARED, progress, 5_900, 99, True)
+    assert not may_advance(DECLARED, progress, 9_000, 9, True)
+    assert not may_advance(DECLARED, progress, 9_000, 99, False)
+    assert may_advance(DECLARED, progress, 9_000, 10, True)
     halted = attrs.evolve(progress, halted="bad")
-    assert not ask(DECLARED, halted, 9_000, 99, True)
+    assert not may_advance(DECLARED, halted, 9_000, 99, True)
 
 
-def test_records_round_trip_and_junk_is_ignored():
-    """A record of another release must not end the reader."""
+def test_records_round_trip_and_invalid_ones_are_ignored():
+    """A record of another release must not stop the reader."""
     state = fold([advance(0, 0), HALT])
     snapshot = rollout.make_snapshot(state)
     assert snapshot is not None
     for record in (advance(0, 0), HALT, snapshot):
         assert rollout.decode(rollout.encode(record)) == record
-    for junk in (None, {}, {"kind": "halt"}, {"kind": "snapshot"}, 7):
-        assert rollout.decode(junk) is None
+    for invalid in (None, {}, {"kind": "halt"}, {"kind": "snapshot"}, 7):
+        assert rollout.decode(invalid) is None
--- a/tests/cover/test_store_polls.py
+++ b/tests/cover/test_store_polls.py
@@ -1,4 +1,4 @@
-"""How long polls wait and how old proofs may be, against every bound."""
+"""Durations of polls and maximum ages of proofs, against every bound."""
 
 from carawayward.decisions import lapses
 from carawayward.decisions import store_polls
@@ -8,12 +8,12 @@
 from carawayward.forwarding import settings
 
 
-def test_worst_age_of_a_proof_fits_into_its_bound():
-    """The reader dies just after its last answer, before something changes.
+def test_maximum_age_of_a_proof_fits_into_its_bound():
+    """The delegate dies just after its last answer, before a change.
 
-    An endpoint that leaves then has to be known within the time for draining,
-    and keys be proved anew before their lease is up, by a store that takes
-    as long as a slow one does.
+    An endpoint that then leaves has to be known within the drain time, and
+    keys have to be proved again before their lease expires, by a store that
+    takes as long as a slow one does.
     """
     slow_ms = 700.0
     noticed_ms = freshness.DELEGATE_TIMEOUT_MS + feed.DELEGATE_CHECK_MS
@@ -23,19 +23,20 @@
         usable_ms = lease_ms - board_module.LEASE_MARGIN_MS
         poll_ms = store_polls.compute_table_poll_ms(usable_ms, bounds.apply_ms)
         own_ms = store_polls.OWN_READ_PART * usable_ms
-        # What a living reader tells is young enough not to be read anew.
+        # A live delegate's reports are recent enough, so clients do not read
+        # the store themselves.
         assert store_polls.compute_max_report_age(poll_ms) <= own_ms
         assert own_ms + slow_ms <= usable_ms
     for bound_ms in range(1_500, 10_000, 500):
         for part in (store_polls.APPLY_PART, store_polls.DRAIN_PART):
-            # The reader lost the store a moment after it had sent a poll.
+            # The delegate lost the store just after it had sent a poll.
             poll_ms = part * bound_ms
             known_ms = store_polls.compute_max_report_age(poll_ms) - poll_ms
             assert known_ms < bound_ms
 
 
 def test_delegate_that_lost_the_store_after_a_change_is_noticed_in_time():
-    """What it attests is fresh, and an endpoint leaves just then."""
+    """Its reports are still fresh, and an endpoint leaves just then."""
     for bound_ms in range(2_000, 10_000, 500):
         for part in (store_polls.APPLY_PART, store_polls.DRAIN_PART):
             known_ms = (
@@ -51,8 +52,8 @@
             assert lapses.is_too_short(gap_ms, heartbeat_ms)
 
 
-def test_reader_that_dies_does_not_look_like_an_outage_of_the_store():
-    """An endpoint that left just then is waited for, and gets work."""
+def test_delegate_that_dies_does_not_look_like_an_outage_of_the_store():
+    """Otherwise an endpoint that left meanwhile is kept and sent work."""
     for drain_ms in range(1_000, 6_000, 500):
         for heartbeat_ms in (1_000.0, 1_200.0, 2_000.0, 5_000.0):
             poll_ms = store_polls.compute_registry_poll_ms(
@@ -65,8 +66,8 @@
     assert store_polls.compute_registry_poll_ms(2_000, 2_100) == 1_100.0
 
 
-def test_reports_of_a_delegate_are_young_enough_for_short_leases():
-    """An entry VM without the store turns callers away now and then."""
+def test_reports_of_a_delegate_are_fresh_enough_for_short_leases():
+    """Otherwise an entry VM without the store rejects callers now and then."""
     for lease_ms in range(1_000, 8_000, 100):
         poll_ms = store_polls.compute_table_poll_ms(lease_ms, 4_000.0)
         oldest_ms = store_polls.compute_max_report_age(poll_ms)
--- a/tests/model/test_cold_starts.py
+++ b/tests/model/test_cold_starts.py
@@ -1,4 +1,4 @@
-"""Every order of cuts, restarts, connections and sends keeps the bound."""
+"""Random partitions, restarts, connections and sends keep the bound."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 @attrs.define(eq=False)
 class Vm:
-    """An entry VM: what it knows of the others, and what it has sent."""
+    """An entry VM: its side of a partition, its permits and connections."""
 
     name: str
     part: int
@@ -26,18 +26,18 @@
 
 @attrs.define
 class Schedule:
-    """One run; ``guards`` are taken out to see that they are needed."""
+    """One run; its guards can be disabled to show that they are needed."""
 
     draw: random.Random
     vms: list[Vm]
-    dealt: bool = True
-    remembers: bool = True
+    assigned: bool = True
+    remembers_start: bool = True
     counts_connecting: bool = True
     cut: bool = False
     sent_ms: list[float] = attrs.field(factory=list)
 
     def step(self, now_ms: float) -> None:
-        """Let each entry VM do something, and perhaps a fault happen."""
+        """Let each entry VM act, possibly after a fault."""
         if self.draw.random() < 0.01:
             self.cut = not self.cut
         for vm in self.vms:
@@ -49,10 +49,10 @@
     def restart(self, vm: Vm, now_ms: float) -> None:
         vm.connecting.clear()
         vm.permits = cold_starts.Permits()
-        vm.started_ms = now_ms if self.remembers else -10_000.0
+        vm.started_ms = now_ms if self.remembers_start else -10_000.0
 
     def connect(self, vm: Vm, now_ms: float) -> None:
-        """Begin requests as a burst does, as long as there are permits."""
+        """Start requests in a burst, as long as there are permits."""
         if now_ms - vm.started_ms < cold_starts.WINDOW_MS:
             return
         members = [
@@ -60,10 +60,10 @@
             for other in self.vms
             if not self.cut or other.part == vm.part
         ]
-        most = PERMITS
-        if self.dealt:
-            most = cold_starts.share_permits(vm.name, members, "e", PERMITS)
-        while cold_starts.count_taken(vm.permits, "e", now_ms) < most:
+        limit = PERMITS
+        if self.assigned:
+            limit = cold_starts.share_permits(vm.name, members, "e", PERMITS)
+        while cold_starts.count_taken(vm.permits, "e", now_ms) < limit:
             permit = cold_starts.take(vm.permits, "e")
             late_ms = self.draw.choice((0.0, 0.0, 40.0, 480.0, 3_000.0))
             vm.connecting.append((now_ms + late_ms, permit))
@@ -71,7 +71,7 @@
                 cold_starts.record_sent(permit, now_ms)
 
     def send(self, vm: Vm, now_ms: float) -> None:
-        """Send what is connected by now; some connections fail."""
+        """Send on established connections; some connections fail."""
         for due in [each for each in vm.connecting if each[0] <= now_ms]:
             vm.connecting.remove(due)
             if self.draw.random() < 0.8:
@@ -81,12 +81,12 @@
             cold_starts.release(vm.permits, due[1])
 
 
-def find_busiest(seed: int, vms: int, missing: str = "") -> int:
-    """The most requests that the endpoint gets in any second."""
+def find_busiest(seed: int, vms: int, disabled_guard: str = "") -> int:
+    """The largest number of requests that the endpoint gets in any second."""
     draw = random.Random(seed)
     schedule = Schedule(draw, [Vm(f"vm-{n}", n % 2) for n in range(vms)])
-    if missing:
-        setattr(schedule, missing, False)
+    if disabled_guard:
+        setattr(schedule, disabled_guard, False)
     for step in range(STEPS):
         schedule.step(step * STEP_MS)
     sent = schedule.sent_ms
@@ -97,14 +97,16 @@
 
 
 def test_cold_endpoint_never_gets_more_than_its_bound():
-    """Entry VMs are cut in two, restart and connect late, in any order."""
+    """Entry VMs are partitioned, restart and connect late, in random order."""
     for seed in SEEDS:
         for vms in (1, 2, 18):
             assert find_busiest(seed, vms) <= BOUND, (seed, vms)
 
 
 def test_each_guard_is_needed():
-    """Without it some schedule gives an endpoint more than its bound."""
-    for guard in ("dealt", "remembers", "counts_connecting"):
-        busiest = max(find_busiest(seed, 18, missing=guard) for seed in SEEDS)
+    """Without it, some schedule gives an endpoint more than its bound."""
+    for guard in ("assigned", "remembers_start", "counts_connecting"):
+        busiest = max(
+            find_busiest(seed, 18, disabled_guard=guard) for seed in SEEDS
+        )
         assert busiest > BOUND, guard
