--- a/src/carawayward/decisions/placement.py
+++ b/src/carawayward/decisions/placement.py
@@ -169,9 +169,9 @@
     if probe is not None:
         return probe
     if key is not None:
-        home = find_affine_endpoint(candidates, key, now_ms, excluded)
-        if home is not None:
-            return home
+        affine = find_affine_endpoint(candidates, key, now_ms, excluded)
+        if affine is not None:
+            return affine
     return choose_of_two(candidates, failure_domain, now_ms, draw, excluded)
 
 
