--- a/src/carawayward/daemon.py
+++ b/src/carawayward/daemon.py
@@ -91,8 +91,8 @@
         vms = vms_module.VmList.from_config(settings.platform.vms)
         limits = settings.limits
         endpoints = endpoints_module.EndpointClient(
-            streams.Patience(
-                link_ms=limits.link_silence_ms,
+            streams.SilenceLimits(
+                connection_ms=limits.link_silence_ms,
                 engine_ms=limits.engine_silence_ms,
             ),
             limits.service_timeout_ms,
--- a/src/carawayward/gateway/connections.py
+++ b/src/carawayward/gateway/connections.py
@@ -182,7 +182,7 @@
     )
 
 
-def make_fresh() -> httpcore.AsyncConnectionPool:
+def make_single_use_pool() -> httpcore.AsyncConnectionPool:
     """A pool for one exchange, which begins on a connection of its own."""
     return make_pool(1, 0)
 
--- a/src/carawayward/gateway/dispatch.py
+++ b/src/carawayward/gateway/dispatch.py
@@ -15,7 +15,7 @@
 from carawayward import errors
 from carawayward.gateway import endpoints as endpoints_module
 from carawayward.gateway import fleet as fleet_module
-from carawayward.gateway import lanes as lanes_module
+from carawayward.gateway import queues as queues_module
 from carawayward.gateway import requests
 from carawayward.gateway import running
 from carawayward import outcomes
@@ -41,7 +41,7 @@
     endpoints: endpoints_module.EndpointClient
     suspects: suspects_module.SuspectsController
     fleet: fleet_module.Fleet
-    lanes: lanes_module.Lanes
+    queues: queues_module.DispatchQueues
     runs: running.Runs
 
     @classmethod
@@ -55,10 +55,10 @@
     ) -> "Dispatcher":
         """Put the parts together."""
         fleet = fleet_module.Fleet(board)
-        lanes = lanes_module.Lanes(
+        queues = queues_module.DispatchQueues(
             clock, fleet, settings.failure_domain, suspects
         )
-        runs = running.Runs(board, clock, endpoints, suspects, fleet, lanes)
+        runs = running.Runs(board, clock, endpoints, suspects, fleet, queues)
         return cls(
             board,
             clock,
@@ -66,17 +66,17 @@
             endpoints,
             suspects,
             fleet,
-            lanes,
+            queues,
             runs,
         )
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Begin to look at the queues now and then."""
-        await self.lanes.start(nursery)
+        await self.queues.start(nursery)
 
     async def close(self) -> None:
         """Nothing to release."""
-        await self.lanes.close()
+        await self.queues.close()
 
     async def run_step(
         self,
@@ -87,7 +87,7 @@
         deadline_ms: float,
         on_text: running.OnText,
         buffered: bool,
-    ) -> running.StepDone | outcomes.Outcome:
+    ) -> running.StepResult | outcomes.Outcome:
         """Run one step of a plan.
 
         ``deadline_ms`` is on the own clock; a ``buffered`` step hands its
@@ -104,19 +104,19 @@
             fingerprint=suspicion.make_fingerprint(
                 customer.name, request.messages
             ),
-            lane=self.lanes.find(
+            queue=self.queues.find(
                 version, lambda endpoint: version in endpoint.versions
             ),
             ran=index > 0,
         )
         for attempt in range(MAX_ATTEMPTS):
             waiter = await self._acquire(step, attempt)
-            if not isinstance(waiter, lanes_module.Waiter):
+            if not isinstance(waiter, queues_module.Waiter):
                 return waiter
             assert waiter.view is not None
             if not self._still_serves(step, waiter.view):
                 step.excluded |= {waiter.view.name}
-                self.lanes.release(waiter.view, waiter)
+                self.queues.release(waiter.view, waiter)
                 continue
             try:
                 return await self.runs.run(step, waiter)
@@ -129,7 +129,7 @@
     async def _end_or_retry(
         self,
         step: running.Step,
-        waiter: lanes_module.Waiter,
+        waiter: queues_module.Waiter,
         fault: errors.EndpointError,
     ) -> outcomes.Outcome | None:
         """Judge a failed attempt; None means try another endpoint."""
@@ -145,7 +145,7 @@
             )
         reached = fault.sent or fault.status is not None
         now_ms = self.clock.now_ms()
-        if reached and not retry.spend(step.lane.retries, now_ms):
+        if reached and not retry.spend(step.queue.retry_budget, now_ms):
             return self._refuse_failed(step)
         if waiter.suspect and not fault.sent:
             # Another entry VM's trial may just have crashed the endpoint;
@@ -162,15 +162,15 @@
 
     async def _acquire(
         self, step: running.Step, attempt: int
-    ) -> lanes_module.Waiter | outcomes.Outcome:
+    ) -> queues_module.Waiter | outcomes.Outcome:
         """Wait for an endpoint and check once more before it is used."""
         refusal = self._recheck(step)
         if refusal is not None:
             return refusal
         waiter = self._make_waiter(step)
-        lane = step.lane
-        self.lanes.refresh(lane)
-        if not lane.candidates.views:
+        queue = step.queue
+        self.queues.refresh(queue)
+        if not queue.candidates.views:
             if attempt:
                 return self._refuse_failed(step)
             return step.refuse(
@@ -178,30 +178,30 @@
                 f"no endpoint runs {step.version} just now; come back",
                 RETRY_AFTER_MS,
             )
-        if step.excluded.issuperset(v.name for v in lane.candidates.views):
+        if step.excluded.issuperset(v.name for v in queue.candidates.views):
             # All have been tried; waiting would only hold the caller.
             return self._refuse_failed(step)
         if attempt == 0 and step.index == 0:
             places = self._share_places(step.customer)
-            early = self.lanes.admit(lane, waiter, places)
+            early = self.queues.admit(queue, waiter, places)
             if early is not None:
                 return self._refuse_early(step, early)
-        if not await self.lanes.wait(lane, waiter, aside=attempt > 0):
+        if not await self.queues.wait(queue, waiter, aside=attempt > 0):
             return self._recheck(step) or step.refuse(
                 outcomes.Reason.DEADLINE,
                 "no endpoint was free in time; send it again with a later "
                 "deadline",
-                admission.expect_work(lane.times, step.customer.name),
+                admission.expect_work(queue.times, step.customer.name),
             )
         refusal = self._recheck(step)
         if refusal is not None:
             assert waiter.view is not None
-            self.lanes.release(waiter.view, waiter)
+            self.queues.release(waiter.view, waiter)
             return refusal
         return waiter
 
-    def _make_waiter(self, step: running.Step) -> lanes_module.Waiter:
-        times, customer = step.lane.times, step.customer.name
+    def _make_waiter(self, step: running.Step) -> queues_module.Waiter:
+        times, customer = step.queue.times, step.customer.name
         work = admission.expect_work(times, customer)
         latest_ms = admission.find_latest_start(
             times, customer, self.clock.now_ms(), step.deadline_ms
@@ -213,7 +213,7 @@
             latest_start_ms=latest_ms - REFUSAL_MARGIN_MS,
             priority=STEP_PRIORITY if step.index else 0,
         )
-        return lanes_module.Waiter(
+        return queues_module.Waiter(
             item=item,
             key=placement.hash_key(running.find_prefix(step)),
             fingerprint=step.fingerprint,
@@ -292,25 +292,25 @@
         A call that may not be repeated is tried elsewhere only as long as
         no byte of it can have left, and is never sent twice at once.
         """
-        lane = self.lanes.find(
+        queue = self.queues.find(
             f"pool:{pool}", lambda endpoint: endpoint.pool == pool
         )
         excluded: frozenset[str] = frozenset()
         ran = False
         for attempt in range(MAX_ATTEMPTS):
             waiter = await self._acquire_call(
-                customer, call, lane, excluded, attempt
+                customer, call, queue, excluded, attempt
             )
             if isinstance(waiter, outcomes.NotRun):
                 if ran:
                     break
                 return waiter
             try:
-                return await self.runs.call(lane, waiter, call, operation)
+                return await self.runs.call(queue, waiter, call, operation)
             except errors.EndpointError as fault:
                 ran |= fault.sent
                 excluded |= {fault.endpoint}
-                if not self._may_call_again(lane, operation, fault):
+                if not self._may_call_again(queue, operation, fault):
                     break
         if ran:
             return outcomes.Unknown(
@@ -325,7 +325,7 @@
 
     def _may_call_again(
         self,
-        lane: lanes_module.Lane,
+        queue: queues_module.DispatchQueue,
         operation: declaration.Operation,
         fault: errors.EndpointError,
     ) -> bool:
@@ -333,23 +333,23 @@
             return False
         if not fault.sent and fault.status is None:
             return True
-        return retry.spend(lane.retries, self.clock.now_ms())
+        return retry.spend(queue.retry_budget, self.clock.now_ms())
 
     async def _acquire_call(
         self,
         customer: declaration.Customer,
         call: requests.ServiceCall,
-        lane: lanes_module.Lane,
+        queue: queues_module.DispatchQueue,
         excluded: frozenset[str],
         attempt: int,
-    ) -> lanes_module.Waiter | outcomes.NotRun:
-        self.lanes.refresh(lane)
+    ) -> queues_module.Waiter | outcomes.NotRun:
+        self.queues.refresh(queue)
         missing = outcomes.NotRun(
             outcomes.Reason.NO_ENDPOINT,
             f"no endpoint of {call.service} just now; come back",
             RETRY_AFTER_MS,
         )
-        if not any(v.name not in excluded for v in lane.candidates.views):
+        if not any(v.name not in excluded for v in queue.candidates.views):
             return missing
         patience_ms = self.limits.service_timeout_ms
         if call.deadline_ms is not None:
@@ -357,20 +357,20 @@
         item = queueing.Item(
             customer=customer.name,
             weight=customer.weight,
-            work=admission.expect_work(lane.times, customer.name),
+            work=admission.expect_work(queue.times, customer.name),
             latest_start_ms=self.clock.now_ms() + patience_ms,
         )
-        waiter = lanes_module.Waiter(item=item, key=None, excluded=excluded)
+        waiter = queues_module.Waiter(item=item, key=None, excluded=excluded)
         if attempt == 0:
             places = self._share_places(customer)
-            early = self.lanes.admit(lane, waiter, places)
+            early = self.queues.admit(queue, waiter, places)
             if early is not None:
                 return outcomes.NotRun(
                     outcomes.Reason.OVERLOADED,
                     "your calls exceed your share; come back when told",
                     int(early.retry_after_ms or RETRY_AFTER_MS),
                 )
-        if not await self.lanes.wait(lane, waiter, aside=attempt > 0):
+        if not await self.queues.wait(queue, waiter, aside=attempt > 0):
             return outcomes.NotRun(
                 outcomes.Reason.DEADLINE,
                 "no endpoint was free in time; send it again",
@@ -379,6 +379,6 @@
         assert waiter.view is not None
         known = self.board.endpoints.get(waiter.view.name)
         if known is None or known.leaving:
-            self.lanes.release(waiter.view)
+            self.queues.release(waiter.view)
             return missing
         return waiter
--- a/src/carawayward/gateway/endpoints.py
+++ b/src/carawayward/gateway/endpoints.py
@@ -46,14 +46,15 @@
 class EndpointClient:
     """Calls endpoints over pooled connections."""
 
-    patience: streams.Patience
+    silence_limits: streams.SilenceLimits
     service_timeout_ms: float
     pools: connections.EndpointPools = attrs.field(
         factory=connections.EndpointPools
     )
     watch: streams.SilenceWatch = attrs.field(
         default=attrs.Factory(
-            lambda self: streams.SilenceWatch(self.patience), takes_self=True
+            lambda self: streams.SilenceWatch(self.silence_limits),
+            takes_self=True,
         )
     )
     _nursery: trio.Nursery | None = None
@@ -109,7 +110,7 @@
                 path,
                 body,
                 self.service_timeout_ms,
-                reused_ms=self.patience.link_ms,
+                reused_ms=self.silence_limits.connection_ms,
                 may_send=may_send,
             )
         except errors.EndpointError as fault:
@@ -130,7 +131,7 @@
         may_send: MaySend,
         repeatable: bool,
     ) -> typing.Any:
-        async with connections.make_fresh() as fresh:
+        async with connections.make_single_use_pool() as fresh:
             return await self._exchange(
                 endpoint,
                 "POST",
--- a/src/carawayward/gateway/hedging.py
+++ b/src/carawayward/gateway/hedging.py
@@ -17,7 +17,7 @@
 
 
 @attrs.define(eq=False)
-class Race:
+class HedgedRun:
     """Up to two runs of one request, of which one may reach the caller."""
 
     on_text: OnText
--- a/src/carawayward/gateway/lifecycle.py
+++ b/src/carawayward/gateway/lifecycle.py
@@ -186,7 +186,7 @@
                 on_text if last else hold,
                 buffered=not (last and request.stream),
             )
-            if not isinstance(result, running.StepDone):
+            if not isinstance(result, running.StepResult):
                 return result
             end = result.end
             self._record_answer(
@@ -218,7 +218,7 @@
         request: requests.Completion,
         index: int,
         version: str,
-        done: running.StepDone,
+        done: running.StepResult,
         began_ms: float,
     ) -> None:
         """Let a step's answer be rated and its time be learned."""
--- a/src/carawayward/gateway/planning.py
+++ b/src/carawayward/gateway/planning.py
@@ -29,7 +29,7 @@
     """The steps to run, and the unproven versions that they spend for."""
 
     steps: list[cascade.Step]
-    spending: frozenset[str] = frozenset()
+    charged_versions: frozenset[str] = frozenset()
 
 
 def choose_pins(
@@ -129,18 +129,18 @@
             customer, models=[m for m in task.cascade if m in allowed]
         )
         pins = choose_pins(board, mine, request_key, 1)
-        spending = _list_unproven(part, pins.values())
+        charged_versions = _list_unproven(part, pins.values())
     else:
         used = [pins[name] for name in task.cascade if name in pins]
-        spending = _list_unproven(part, used)
-        for version in spending:
+        charged_versions = _list_unproven(part, used)
+        for version in charged_versions:
             trial = part.find_trial(version)
             if trial is not None:
                 spend(board, trial, 1)
     declared = cascade.make_plan(task, config.models, allowed, pins)
     steps = _choose_steps(board, customer, task, request_key, declared)
     steps = cascade.fit_deadline(steps, part.usual_ms, left_ms)
-    return Plan(steps=steps, spending=spending)
+    return Plan(steps=steps, charged_versions=charged_versions)
 
 
 def _list_unproven(
@@ -232,7 +232,7 @@
     board: blackboard_module.Blackboard, plan: Plan, ran: typing.Iterable[str]
 ) -> None:
     """Give back what was spent for unproven versions that did not run."""
-    for version in plan.spending - set(ran):
+    for version in plan.charged_versions - set(ran):
         trial = board.quality.find_trial(version)
         if trial is None:
             continue
--- a/src/carawayward/gateway/lanes.py
+++ b/src/carawayward/gateway/queues.py
@@ -40,16 +40,16 @@
 
 
 @attrs.define(eq=False, kw_only=True)
-class Lane:
+class DispatchQueue:
     """The state of one queue; ``side`` holds retries, which go first."""
 
     serves: fleet_module.Serves
-    queue: queueing.FairQueue = attrs.field(factory=queueing.FairQueue)
-    side: list[Waiter] = attrs.field(factory=list)
+    fair_queue: queueing.FairQueue = attrs.field(factory=queueing.FairQueue)
+    retry_waiters: list[Waiter] = attrs.field(factory=list)
     times: admission.WorkTimes = attrs.field(factory=admission.WorkTimes)
     promises: admission.Promises = attrs.field(factory=admission.Promises)
-    retries: retry.Budget = attrs.field(factory=retry.Budget)
-    hedges: retry.Budget = attrs.field(
+    retry_budget: retry.Budget = attrs.field(factory=retry.Budget)
+    hedge_budget: retry.Budget = attrs.field(
         factory=lambda: retry.Budget(retry.HEDGE_SHARE)
     )
     first_text: retry.FirstText = attrs.field(factory=retry.FirstText)
@@ -62,11 +62,11 @@
     @property
     def waiting(self) -> bool:
         """Whether any request waits."""
-        return bool(self.side or self.queue.count)
+        return bool(self.retry_waiters or self.fair_queue.count)
 
 
 @attrs.define(eq=False)
-class Lanes:
+class DispatchQueues:
     """All lanes of this entry VM.
 
     Lanes are not dropped: a request on its way holds its lane, and one that
@@ -79,7 +79,7 @@
     failure_domain: str
     suspects: suspects_module.SuspectsController
     draw: placement.Draw = random.randrange
-    lanes: dict[str, Lane] = attrs.field(factory=dict)
+    queues: dict[str, DispatchQueue] = attrs.field(factory=dict)
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Begin to look at the lanes now and then."""
@@ -94,48 +94,50 @@
             self.pump_all()
             await self.clock.sleep(TICK_MS)
 
-    def find(self, name: str, serves: fleet_module.Serves) -> Lane:
+    def find(self, name: str, serves: fleet_module.Serves) -> DispatchQueue:
         """The lane of a version or pool, with its candidates up to date."""
-        lane = self.lanes.get(name)
-        if lane is None:
+        queue = self.queues.get(name)
+        if queue is None:
             # What was learned since the last tick may serve it.
             self.fleet.sync(self.clock.now_ms())
-            lane = self.lanes[name] = Lane(serves=serves)
-        self.refresh(lane)
-        return lane
+            queue = self.queues[name] = DispatchQueue(serves=serves)
+        self.refresh(queue)
+        return queue
 
-    def refresh(self, lane: Lane) -> None:
+    def refresh(self, queue: DispatchQueue) -> None:
         """Make the list of candidates anew if membership has changed."""
-        if lane.generation != self.fleet.generation:
-            lane.candidates = self.fleet.find_candidates(lane.serves)
-            lane.generation = self.fleet.generation
+        if queue.generation != self.fleet.generation:
+            queue.candidates = self.fleet.find_candidates(queue.serves)
+            queue.generation = self.fleet.generation
 
     def admit(
-        self, lane: Lane, waiter: Waiter, places: int
+        self, queue: DispatchQueue, waiter: Waiter, places: int
     ) -> admission.Refusal | None:
         """Refuse a request that cannot be served in time, or None."""
-        slots = sum(view.limit.value for view in lane.candidates.views)
+        slots = sum(view.limit.value for view in queue.candidates.views)
         return admission.decide(
-            lane.queue,
+            queue.fair_queue,
             waiter.item,
             self.clock.now_ms(),
             slots,
             places,
-            lane.promises,
+            queue.promises,
         )
 
-    async def wait(self, lane: Lane, waiter: Waiter, aside: bool) -> bool:
+    async def wait(
+        self, queue: DispatchQueue, waiter: Waiter, aside: bool
+    ) -> bool:
         """Wait for a slot; False when none came in time, or may any more.
 
         A caller that leaves frees its place at once, and a slot that was
         granted in the same moment is handed on.
         """
         if aside:
-            lane.side.append(waiter)
+            queue.retry_waiters.append(waiter)
         else:
             waiter.item.payload = waiter
-            queueing.push(lane.queue, waiter.item)
-        self.pump(lane)
+            queueing.push(queue.fair_queue, waiter.item)
+        self.pump(queue)
         patience_ms = waiter.item.latest_start_ms - self.clock.now_ms()
         try:
             if waiter.view is None:
@@ -146,9 +148,9 @@
                 self.release(waiter.view, waiter)
             raise
         finally:
-            queueing.remove(lane.queue, waiter.item)
-            if waiter in lane.side:
-                lane.side.remove(waiter)
+            queueing.remove(queue.fair_queue, waiter.item)
+            if waiter in queue.retry_waiters:
+                queue.retry_waiters.remove(waiter)
         return waiter.view is not None
 
     def release(
@@ -162,28 +164,30 @@
 
     def pump_all(self) -> None:
         """Start what can be started, the lane served longest ago first."""
-        busy = [lane for lane in self.lanes.values() if lane.waiting]
-        for lane in sorted(busy, key=lambda lane: lane.served_ms):
-            self.pump(lane)
+        busy = [queue for queue in self.queues.values() if queue.waiting]
+        for queue in sorted(busy, key=lambda queue: queue.served_ms):
+            self.pump(queue)
 
-    def pump(self, lane: Lane) -> None:
+    def pump(self, queue: DispatchQueue) -> None:
         """Start what can be started in one lane."""
-        self.refresh(lane)
-        while self._start_one(lane):
-            lane.served_ms = self.clock.now_ms()
-
-    def _start_one(self, lane: Lane) -> bool:
-        for waiter in lane.side:
-            if self._place(lane, waiter) is not None:
-                lane.side.remove(waiter)
+        self.refresh(queue)
+        while self._start_one(queue):
+            queue.served_ms = self.clock.now_ms()
+
+    def _start_one(self, queue: DispatchQueue) -> bool:
+        for waiter in queue.retry_waiters:
+            if self._place(queue, waiter) is not None:
+                queue.retry_waiters.remove(waiter)
                 return True
-        for item in queueing.list_heads(lane.queue):
-            if self._place(lane, item.payload) is not None:
-                queueing.take(lane.queue, item)
+        for item in queueing.list_heads(queue.fair_queue):
+            if self._place(queue, item.payload) is not None:
+                queueing.take(queue.fair_queue, item)
                 return True
         return False
 
-    def _place(self, lane: Lane, waiter: Waiter) -> placement.View | None:
+    def _place(
+        self, queue: DispatchQueue, waiter: Waiter
+    ) -> placement.View | None:
         suspect, trial = False, None
         if waiter.fingerprint:
             if self.suspects.is_convicted(waiter.fingerprint):
@@ -192,13 +196,13 @@
                 waiter.event.set()
                 return None
             suspect, trial = self.suspects.find_trial(
-                waiter.fingerprint, lane.candidates
+                waiter.fingerprint, queue.candidates
             )
         now_ms = self.clock.now_ms()
         view: placement.View | None = None
         if not suspect:
             view = placement.choose(
-                lane.candidates,
+                queue.candidates,
                 waiter.key,
                 self.failure_domain,
                 now_ms,
--- a/src/carawayward/gateway/running.py
+++ b/src/carawayward/gateway/running.py
@@ -17,7 +17,7 @@
 from carawayward.gateway import endpoints as endpoints_module
 from carawayward.gateway import fleet as fleet_module
 from carawayward.gateway import hedging
-from carawayward.gateway import lanes as lanes_module
+from carawayward.gateway import queues as queues_module
 from carawayward.gateway import requests
 from carawayward import http_client as http
 from carawayward import outcomes
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class StepDone:
+class StepResult:
     """One finished step of a plan."""
 
     text: str
@@ -56,7 +56,7 @@
     on_text: OnText
     buffered: bool
     fingerprint: str
-    lane: lanes_module.Lane
+    queue: queues_module.DispatchQueue
     ran: bool = False
     excluded: frozenset[str] = frozenset()
     parts: list[str] = attrs.field(factory=list)
@@ -98,7 +98,7 @@
     """Measures one run's text on its way to the caller."""
 
     clock: clock_module.Clock
-    lane: lanes_module.Lane
+    queue: queues_module.DispatchQueue
     on_text: OnText
     began_ms: float
     held_up_ms: float = 0.0
@@ -110,7 +110,7 @@
         self.pieces += 1
         if self.pieces == 1:
             first_ms = now_ms - self.began_ms
-            retry.record_first_text(self.lane.first_text, first_ms)
+            retry.record_first_text(self.queue.first_text, first_ms)
         await self.on_text(text)
         self.held_up_ms += self.clock.now_ms() - now_ms
 
@@ -124,13 +124,15 @@
     endpoints: endpoints_module.EndpointClient
     suspects: suspects_module.SuspectsController
     fleet: fleet_module.Fleet
-    lanes: lanes_module.Lanes
+    queues: queues_module.DispatchQueues
 
-    async def run(self, step: Step, waiter: lanes_module.Waiter) -> StepDone:
+    async def run(
+        self, step: Step, waiter: queues_module.Waiter
+    ) -> StepResult:
         """Run on the endpoint that was chosen, hedged if that may help."""
         assert waiter.view is not None
         views = [waiter.view]
-        lane = step.lane
+        queue = step.queue
 
         def make_second() -> hedging.Runner | None:
             view = self._choose_second(step, views[0])
@@ -139,25 +141,25 @@
             views.append(view)
             return self._make_runner(step, view, None)
 
-        race = hedging.Race(step.collect)
+        race = hedging.HedgedRun(step.collect)
         delay_ms = None
         if not waiter.suspect:
-            delay_ms = retry.find_hedge_delay(lane.first_text)
+            delay_ms = retry.find_hedge_delay(queue.first_text)
         runner = self._make_runner(step, views[0], waiter)
         index, end = await race.run(runner, delay_ms, make_second)
         if index and not race.faults:
             # The silent first run was cancelled: without this its endpoint
             # would look idle and go on drawing requests.
             self.fleet.record_failure(
-                views[0], lane.candidates, self.clock.now_ms(), False
+                views[0], queue.candidates, self.clock.now_ms(), False
             )
         self.suspects.record_answer(step.fingerprint)
-        retry.record_success(lane.retries)
-        retry.record_success(lane.hedges)
+        retry.record_success(queue.retry_budget)
+        retry.record_success(queue.hedge_budget)
         text = "".join(step.parts)
         if step.buffered:
             await step.on_text(text)
-        return StepDone(text, views[index].name, end)
+        return StepResult(text, views[index].name, end)
 
     def _choose_second(
         self, step: Step, first: placement.View
@@ -167,18 +169,18 @@
         Never while others wait: a slot does more for a first run.
         """
         now_ms = self.clock.now_ms()
-        lane = step.lane
-        if lane.waiting:
+        queue = step.queue
+        if queue.waiting:
             return None
         view = placement.choose(
-            lane.candidates,
+            queue.candidates,
             None,
             self.board.failure_domain,
             now_ms,
-            self.lanes.draw,
+            self.queues.draw,
             step.excluded | {first.name},
         )
-        if view is None or not retry.spend(lane.hedges, now_ms):
+        if view is None or not retry.spend(queue.hedge_budget, now_ms):
             return None
         events.log_event(events.Event.REQUEST_HEDGED, endpoint=first.name)
         self.fleet.occupy(view)
@@ -188,7 +190,7 @@
         self,
         step: Step,
         view: placement.View,
-        waiter: lanes_module.Waiter | None,
+        waiter: queues_module.Waiter | None,
     ) -> hedging.Runner:
         """A run on a slot that is already taken; it frees the slot."""
         request = step.request
@@ -202,31 +204,31 @@
         began_ms = self.clock.now_ms()
 
         async def runner(on_text: OnText) -> endpoints_module.RunEnd:
-            watch = Watch(self.clock, step.lane, on_text, began_ms)
+            watch = Watch(self.clock, step.queue, on_text, began_ms)
             try:
                 endpoint = self.board.endpoints[view.name]
                 end = await self.endpoints.run_engine(
                     endpoint, run, watch.write
                 )
-                self._record_answer(step.lane, waiter, view, watch, end)
+                self._record_answer(step.queue, waiter, view, watch, end)
                 return end
             except trio.Cancelled:
                 now_ms = self.clock.now_ms()
                 if now_ms >= step.deadline_ms:
-                    self._record_work(step.lane, waiter, now_ms - began_ms)
+                    self._record_work(step.queue, waiter, now_ms - began_ms)
                 raise
             except errors.EndpointError as fault:
                 await self._record_failure(step, view, fault)
                 raise
             finally:
-                self.lanes.release(view, waiter)
+                self.queues.release(view, waiter)
 
         return runner
 
     def _record_answer(
         self,
-        lane: lanes_module.Lane,
-        waiter: lanes_module.Waiter | None,
+        queue: queues_module.DispatchQueue,
+        waiter: queues_module.Waiter | None,
         view: placement.View,
         watch: "Watch",
         end: endpoints_module.RunEnd,
@@ -238,22 +240,22 @@
         """
         now_ms = self.clock.now_ms()
         took_ms = now_ms - watch.began_ms
-        self._record_work(lane, waiter, took_ms)
+        self._record_work(queue, waiter, took_ms)
         if watch.held_up_ms > MOST_HELD_UP * took_ms:
             return
         unit_ms = took_ms / (end.output_tokens + UNIT_BASE)
         self.fleet.record_success(view, unit_ms)
-        self.fleet.judge(view, lane.candidates, now_ms)
+        self.fleet.judge(view, queue.candidates, now_ms)
 
     def _record_work(
         self,
-        lane: lanes_module.Lane,
-        waiter: lanes_module.Waiter | None,
+        queue: queues_module.DispatchQueue,
+        waiter: queues_module.Waiter | None,
         took_ms: float,
     ) -> None:
         if waiter is not None:
             customer = waiter.item.customer
-            admission.record_work(lane.times, customer, took_ms)
+            admission.record_work(queue.times, customer, took_ms)
 
     async def _record_failure(
         self, step: Step, view: placement.View, fault: errors.EndpointError
@@ -264,7 +266,7 @@
         has crashed it, or was in flight when another did. Silence is no
         crash: cut-off networks look the same.
         """
-        self._record_fault(step.lane, view, fault)
+        self._record_fault(step.queue, view, fault)
         if not fault.sent or fault.silent or fault.status is not None:
             return
         self.suspects.begin_judging(step.fingerprint)
@@ -292,7 +294,7 @@
 
     def _record_fault(
         self,
-        lane: lanes_module.Lane,
+        queue: queues_module.DispatchQueue,
         view: placement.View,
         fault: errors.EndpointError,
     ) -> None:
@@ -308,12 +310,12 @@
         if not fault.sent and fault.status is None:
             self.fleet.record_unreachable(view, now_ms)
         overload = fault.silent or fault.status == 503
-        self.fleet.record_failure(view, lane.candidates, now_ms, overload)
+        self.fleet.record_failure(view, queue.candidates, now_ms, overload)
 
     async def call(
         self,
-        lane: lanes_module.Lane,
-        waiter: lanes_module.Waiter,
+        queue: queues_module.DispatchQueue,
+        waiter: queues_module.Waiter,
         call: requests.ServiceCall,
         operation: declaration.Operation,
     ) -> outcomes.Answered:
@@ -330,15 +332,15 @@
                 call.may_send,
             )
         except errors.EndpointError as fault:
-            self._record_fault(lane, view, fault)
+            self._record_fault(queue, view, fault)
             raise
         finally:
-            self.lanes.release(view)
+            self.queues.release(view)
         took_ms = self.clock.now_ms() - began_ms
         self.fleet.record_success(view, took_ms)
-        self.fleet.judge(view, lane.candidates, began_ms)
-        self._record_work(lane, waiter, took_ms)
-        retry.record_success(lane.retries)
+        self.fleet.judge(view, queue.candidates, began_ms)
+        self._record_work(queue, waiter, took_ms)
+        retry.record_success(queue.retry_budget)
         return outcomes.Answered(
             text=body, version=call.service, endpoint=view.name
         )
--- a/src/carawayward/gateway/streams.py
+++ b/src/carawayward/gateway/streams.py
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Patience:
+class SilenceLimits:
     """How long a run may be silent, in milliseconds.
 
     ``link_ms`` without a byte casts doubt on the connection: the run is
@@ -64,7 +64,7 @@
     many connections, ends the attempt.
     """
 
-    link_ms: float
+    connection_ms: float
     engine_ms: float
 
 
@@ -80,12 +80,12 @@
 class SilenceWatch:
     """Ends the waits of all runs whose connection has gone silent."""
 
-    patience: Patience
+    silence_limits: SilenceLimits
     readings: set[connections.Reading] = attrs.field(factory=set)
 
     async def run(self) -> None:
         """Look at all waiting runs, again and again."""
-        link_s = self.patience.link_ms / 1000
+        link_s = self.silence_limits.connection_ms / 1000
         while True:
             oldest = trio.current_time() - link_s
             for reading in self.readings:
@@ -166,7 +166,7 @@
             quiet_ms = (trio.current_time() - self.heard) * 1000
             if (
                 self.offset == before
-                and quiet_ms >= self.watch.patience.engine_ms
+                and quiet_ms >= self.watch.silence_limits.engine_ms
             ):
                 raise self._fail(name, silent) from cause
 
@@ -191,7 +191,7 @@
         if self.starts == 0:
             pool = await self.pools.get(self.endpoint.address)
             return await self._exchange(pool, resume)
-        async with connections.make_fresh() as pool:
+        async with connections.make_single_use_pool() as pool:
             return await self._exchange(pool, resume)
 
     async def _exchange(
@@ -202,7 +202,7 @@
         if not resume:
             self.starts += 1
             path, content = "/v1/runs", encode_run(self.run)
-        link_s = self.watch.patience.link_ms / 1000
+        link_s = self.watch.silence_limits.connection_ms / 1000
         timeouts = {"connect": CONNECT_S, "read": link_s, "write": link_s}
         try:
             async with pool.stream(
--- a/tests/cover/test_lanes.py
+++ b/tests/cover/test_dispatch_queues.py
@@ -12,7 +12,7 @@
 from carawayward.gateway import endpoints
 from carawayward.gateway import fleet as fleet_module
 from carawayward.gateway import hedging
-from carawayward.gateway import lanes as lanes_module
+from carawayward.gateway import queues as queues_module
 from carawayward.peers import hub
 
 END = endpoints.RunEnd(
@@ -41,26 +41,26 @@
     links: hub.PeerHub = NoLinks()  # type: ignore[assignment]
     suspects = suspects_module.SuspectsController(board, clocks, links)
     fleet = fleet_module.Fleet(board)
-    lanes = lanes_module.Lanes(clocks, fleet, "a", suspects)
-    lane = lanes.find("v", lambda endpoint: "v" in endpoint.versions)
+    queues = queues_module.DispatchQueues(clocks, fleet, "a", suspects)
+    queue = queues.find("v", lambda endpoint: "v" in endpoint.versions)
     for view in fleet.views.values():
         view.limit.value = float(slots)
-    return lanes, lane
+    return queues, queue
 
 
-def make_waiter(lanes, patience_ms=2_000.0, **fields):
+def make_waiter(queues, patience_ms=2_000.0, **fields):
     item = queueing.Item(
         customer="c",
         weight=1.0,
         work=100.0,
-        latest_start_ms=lanes.clock.now_ms() + patience_ms,
+        latest_start_ms=queues.clock.now_ms() + patience_ms,
     )
-    return lanes_module.Waiter(item=item, key=None, **fields)
+    return queues_module.Waiter(item=item, key=None, **fields)
 
 
-async def start_waiting(nursery, lanes, lane, waiter, got, aside=False):
+async def start_waiting(nursery, queues, queue, waiter, got, aside=False):
     async def wait():
-        got.append((waiter, await lanes.wait(lane, waiter, aside)))
+        got.append((waiter, await queues.wait(queue, waiter, aside)))
 
     nursery.start_soon(wait)
     await trio.testing.wait_all_tasks_blocked()
@@ -68,81 +68,81 @@
 
 def test_caller_that_leaves_the_queue_frees_its_place():
     async def main():
-        lanes, lane = make_lanes("e1")
-        first, second = make_waiter(lanes), make_waiter(lanes)
-        assert await lanes.wait(lane, first, False)
+        queues, queue = make_lanes("e1")
+        first, second = make_waiter(queues), make_waiter(queues)
+        assert await queues.wait(queue, first, False)
         with trio.move_on_after(0.02):
-            await lanes.wait(lane, second, False)
-        assert lane.queue.count == 0
-        lanes.release(first.view)
-        assert lanes.fleet.views["e1"].in_flight == 0
+            await queues.wait(queue, second, False)
+        assert queue.fair_queue.count == 0
+        queues.release(first.view)
+        assert queues.fleet.views["e1"].in_flight == 0
 
     trio.run(main)
 
 
 def test_slot_granted_as_its_caller_leaves_goes_to_the_next():
     async def main():
-        lanes, lane = make_lanes("e1")
-        first, second, third = (make_waiter(lanes) for _ in range(3))
-        assert await lanes.wait(lane, first, False)
+        queues, queue = make_lanes("e1")
+        first, second, third = (make_waiter(queues) for _ in range(3))
+        assert await queues.wait(queue, first, False)
         got: list = []
         async with trio.open_nursery() as nursery:
             scope = trio.CancelScope()
 
             async def leave():
                 with scope:
-                    await lanes.wait(lane, second, False)
+                    await queues.wait(queue, second, False)
 
             nursery.start_soon(leave)
             await trio.testing.wait_all_tasks_blocked()
-            await start_waiting(nursery, lanes, lane, third, got)
+            await start_waiting(nursery, queues, queue, third, got)
             scope.cancel()
-            lanes.release(first.view)
+            queues.release(first.view)
         assert got == [(third, True)]
-        assert lanes.fleet.views["e1"].in_flight == 1
+        assert queues.fleet.views["e1"].in_flight == 1
 
     trio.run(main)
 
 
 def test_request_whose_time_runs_out_in_the_queue_is_let_go():
     async def main():
-        lanes, lane = make_lanes("e1")
-        assert await lanes.wait(lane, make_waiter(lanes), False)
-        late = make_waiter(lanes, patience_ms=20.0)
-        assert not await lanes.wait(lane, late, False)
-        assert lane.queue.count == 0
+        queues, queue = make_lanes("e1")
+        assert await queues.wait(queue, make_waiter(queues), False)
+        late = make_waiter(queues, patience_ms=20.0)
+        assert not await queues.wait(queue, late, False)
+        assert queue.fair_queue.count == 0
 
     trio.run(main)
 
 
 def test_retry_goes_before_the_queue():
     async def main():
-        lanes, lane = make_lanes("e1")
-        first, queued, again = (make_waiter(lanes) for _ in range(3))
-        assert await lanes.wait(lane, first, False)
+        queues, queue = make_lanes("e1")
+        first, queued, again = (make_waiter(queues) for _ in range(3))
+        assert await queues.wait(queue, first, False)
         got: list = []
         async with trio.open_nursery() as nursery:
-            await start_waiting(nursery, lanes, lane, queued, got)
-            await start_waiting(nursery, lanes, lane, again, got, True)
-            lanes.release(first.view)
+            await start_waiting(nursery, queues, queue, queued, got)
+            await start_waiting(nursery, queues, queue, again, got, True)
+            queues.release(first.view)
             await trio.testing.wait_all_tasks_blocked()
             assert [waiter for waiter, _ in got] == [again]
-            lanes.release(again.view)
+            queues.release(again.view)
 
     trio.run(main)
 
 
 def test_convicted_request_in_the_queue_is_let_go_at_once():
     async def main():
-        lanes, lane = make_lanes("e1")
-        assert await lanes.wait(lane, make_waiter(lanes), False)
-        waiter = make_waiter(lanes, fingerprint="f")
+        queues, queue = make_lanes("e1")
+        assert await queues.wait(queue, make_waiter(queues), False)
+        waiter = make_waiter(queues, fingerprint="f")
         got: list = []
         async with trio.open_nursery() as nursery:
-            await start_waiting(nursery, lanes, lane, waiter, got)
-            lanes.suspects.record_crash("f", "e8", "r")
-            lanes.suspects.record_crash("f", "e9", "r")
-            lanes.pump_all()
+            await start_waiting(nursery, queues, queue, waiter, got)
+            queues.suspects.record_crash("f", "e8", "r")
+            queues.suspects.record_crash("f", "e9", "r")
+            queues.pump_all()
             with trio.fail_after(1):
                 while not got:
                     await trio.sleep(0)
@@ -153,14 +153,14 @@
 
 def test_leaving_endpoint_gets_no_queued_request():
     async def main():
-        lanes, lane = make_lanes("e1", "e2", slots=8)
-        board = lanes.fleet.board
+        queues, queue = make_lanes("e1", "e2", slots=8)
+        board = queues.fleet.board
         gone = attrs.evolve(board.endpoints["e1"], leaving=True)
         board.endpoints["e1"] = gone
-        lanes.fleet.sync(0.0)
+        queues.fleet.sync(0.0)
         for _ in range(8):
-            waiter = make_waiter(lanes)
-            assert await lanes.wait(lane, waiter, False)
+            waiter = make_waiter(queues)
+            assert await queues.wait(queue, waiter, False)
             assert waiter.view.name == "e2"
 
     trio.run(main)
@@ -189,7 +189,7 @@
         async def take(text):
             texts.append(text)
 
-        runner = hedging.Race(take)
+        runner = hedging.HedgedRun(take)
         return await runner.run(first, delay_ms, lambda: second)
 
     return trio.run(main), texts
@@ -253,6 +253,6 @@
         with trio.fail_after(5):
             for _ in range(50):
                 asked = trio.Event()
-                await hedging.Race(take).run(first, 1.0, make_second)
+                await hedging.HedgedRun(take).run(first, 1.0, make_second)
 
     trio.run(main)
--- a/tests/cover/test_gateway_hedging.py
+++ b/tests/cover/test_gateway_hedging.py
@@ -39,7 +39,7 @@
             return second
 
         with trio.fail_after(5):
-            race = hedging.Race(collect)
+            race = hedging.HedgedRun(collect)
             await race.run(first, 1.0, make_second)
         assert len(got) == 1
 
--- a/tests/failures/test_path_silence.py
+++ b/tests/failures/test_path_silence.py
@@ -23,7 +23,7 @@
 from tests.common import peering
 from tests.common import streaming
 
-PATIENCE = streams.Patience(link_ms=300, engine_ms=2_000)
+SILENCE_LIMITS = streams.SilenceLimits(connection_ms=300, engine_ms=2_000)
 
 
 class Service:
@@ -80,7 +80,7 @@
     """A second call reaches the desk though its connection went silent."""
 
     async def scenario(service: Service, wire: peering.Wire) -> None:
-        client = endpoints.EndpointClient(PATIENCE, 10_000)
+        client = endpoints.EndpointClient(SILENCE_LIMITS, 10_000)
         desk = blackboard.Endpoint(
             name="desk",
             pool="desk",
