--- a/src/carawayward/gateway/__init__.py
+++ b/src/carawayward/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' side: the HTTP API and the clients of endpoints."""
+"""The HTTP API for callers, and the clients that call endpoints."""
--- a/src/carawayward/gateway/connections.py
+++ b/src/carawayward/gateway/connections.py
@@ -1,7 +1,8 @@
-"""Pools of connections to endpoints, one pool an endpoint.
+"""Connection pools, one for each endpoint.
 
-One pool for all would cost each request a walk over every open connection
-of the entry VM; with a pool an endpoint the walk is over that endpoint's.
+httpcore scans all connections of a pool on each request. With one common
+pool that scan would cover every open connection of the entry VM; with a
+pool for each endpoint it covers only that endpoint's connections.
 """
 
 import os
@@ -19,20 +20,21 @@
 MAX_CONNECTIONS = 2_000
 MAX_IDLE = 50
 IDLE_EXPIRY_S = 15.0
-# A stream that always has more to read yields to other tasks this often.
-READS_IN_A_ROW = 16
-MAX_UNWRITTEN = 65_536
-# Pools are looked through for unused ones when their number passes this.
-TIDY_ABOVE = 64
+# A stream that always has data to read yields to other tasks after this
+# many reads.
+READS_PER_CHECKPOINT = 16
+MAX_UNWRITTEN_BYTES = 65_536
+# Unused pools are closed when a pool is added and there are more than this.
+PRUNE_ABOVE = 64
 
 
 @attrs.define(eq=False)
 class Reading:
-    """What a connection does for the run that is read from it.
+    """Links a connection to the run that is being read from it.
 
-    ``flush`` is awaited when all that has arrived was read and nothing more
-    is there yet. ``waiting_since`` is when the wait for more began, on
-    trio's clock, and ``scope`` ends it.
+    ``flush`` is awaited when all received data has been read and the
+    connection is about to wait for more. ``waiting_since`` is when that
+    wait began, on trio's clock; cancelling ``scope`` ends it.
     """
 
     flush: typing.Callable[[], typing.Awaitable[None]]
@@ -41,27 +43,27 @@
 
 
 class EndpointStream(httpcore.AsyncNetworkStream):
-    """A connection whose reader knows when nothing more has arrived.
+    """A connection that tells its reader when no more data is available.
 
-    httpcore reads when it has parsed all that it had. At that moment, and
-    not before, the tokens that came together are handed on together. Silence
-    is found by one watch over all waiting streams, since a timeout of its
-    own for each read costs as much as the read.
+    httpcore reads again once it has parsed everything it had. Only then are
+    the tokens that arrived together passed on, in one piece. Silence is
+    detected by one task that watches all waiting streams, since a timeout
+    for each read would cost as much as the read itself.
     """
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
         self.reading: Reading | None = None
-        self.streak = 0
+        self.immediate_reads = 0
         self.unwritten = b""
         self.drained = False
 
     async def read(
         self, max_bytes: int, timeout: float | None = None
     ) -> bytes:
-        """Read what is there, or wait for some."""
+        """Read the available data, or wait for some."""
         if self.unwritten:
-            await self._write_out(timeout)
+            await self._send_unwritten(timeout)
         if self.reading is None:
             with trio.move_on_after(timeout or float("inf")):
                 return await self.stream.receive_some(max_bytes)
@@ -73,8 +75,8 @@
         except BlockingIOError:
             return await self._wait(self.reading, max_bytes)
         self.drained = len(data) < max_bytes
-        self.streak += 1
-        if self.streak % READS_IN_A_ROW == 0:
+        self.immediate_reads += 1
+        if self.immediate_reads % READS_PER_CHECKPOINT == 0:
             await trio.lowlevel.checkpoint()
         return data
 
@@ -86,21 +88,21 @@
         finally:
             reading.waiting_since = None
         data = os.read(self.stream.socket.fileno(), max_bytes)
-        # A short read took all that there was; trying again at once would
-        # be a call of the system for nothing with each token.
+        # A short read emptied the socket buffer. Reading again at once
+        # would waste one system call on each token.
         self.drained = len(data) < max_bytes
         return data
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Write ``buffer``, at the latest before the next read.
+        """Queue ``buffer`` to be written, at the latest by the next read.
 
-        httpcore writes head and body apart; they go out together.
+        httpcore writes head and body separately; this sends them together.
         """
         self.unwritten += buffer
-        if len(self.unwritten) >= MAX_UNWRITTEN:
-            await self._write_out(timeout)
+        if len(self.unwritten) >= MAX_UNWRITTEN_BYTES:
+            await self._send_unwritten(timeout)
 
-    async def _write_out(self, timeout: float | None) -> None:
+    async def _send_unwritten(self, timeout: float | None) -> None:
         data, self.unwritten = self.unwritten, b""
         data = data[http.write_now(self.stream, data) :]
         if not data:
@@ -111,7 +113,7 @@
         raise httpcore.WriteTimeout()
 
     async def aclose(self) -> None:
-        """Close at once; there is nothing to say goodbye to."""
+        """Close at once, without a graceful shutdown."""
         await trio.aclose_forcefully(self.stream)
 
     async def start_tls(
@@ -120,11 +122,14 @@
         server_hostname: str | None = None,
         timeout: float | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Endpoints are called without TLS."""
+        """Refuse, since endpoints are called without TLS."""
         raise httpcore.UnsupportedProtocol("endpoints are called without TLS")
 
     def get_extra_info(self, info: str) -> typing.Any:
-        """Tell httpcore whether an idle connection was closed over there."""
+        """Answer httpcore's check for idle connections closed by the peer.
+
+        Other information is not available.
+        """
         if info != "is_readable":
             return None
         descriptor = self.stream.socket.fileno()
@@ -136,10 +141,10 @@
 
 
 class EndpointBackend(httpcore.AsyncNetworkBackend):
-    """Makes connections to endpoints.
+    """Opens connections to endpoints.
 
-    With ``silence_ms`` the kernel ends a connection whose other side has
-    not answered it for about so long, though nothing is being sent.
+    With ``silence_ms`` the kernel closes a connection whose peer has not
+    answered for about that long, even if nothing is being sent on it.
     """
 
     def __init__(self, silence_ms: int | None = None) -> None:
@@ -173,7 +178,7 @@
 def make_pool(
     max_connections: int, max_idle: int, silence_ms: int | None = None
 ) -> httpcore.AsyncConnectionPool:
-    """A pool of connections to endpoints."""
+    """Create a pool of connections to endpoints."""
     return httpcore.AsyncConnectionPool(
         max_connections=max_connections,
         max_keepalive_connections=max_idle,
@@ -183,37 +188,37 @@
 
 
 def make_single_use_pool() -> httpcore.AsyncConnectionPool:
-    """A pool for one exchange, which begins on a connection of its own."""
+    """Create a pool for one exchange, which opens its own connection."""
     return make_pool(1, 0)
 
 
 @attrs.define
 class EndpointPools:
-    """The pools by address."""
+    """The connection pools, by endpoint address."""
 
     pools: dict[str, httpcore.AsyncConnectionPool] = attrs.field(factory=dict)
 
     async def get(self, address: str) -> httpcore.AsyncConnectionPool:
-        """The endpoint's pool."""
+        """Return the endpoint's pool, creating it if needed."""
         pool = self.pools.get(address)
         if pool is None:
-            if len(self.pools) > TIDY_ABOVE:
-                await self._tidy()
+            if len(self.pools) > PRUNE_ABOVE:
+                await self._close_unused()
             pool = make_pool(MAX_CONNECTIONS, MAX_IDLE)
             self.pools[address] = pool
         return pool
 
     async def drop_idle(self, address: str) -> None:
-        """Close an endpoint's idle connections after one went silent."""
+        """Close an endpoint's idle connections after one has gone silent."""
         pool = self.pools.get(address)
         if pool is not None:
             await http.drop_idle(pool)
 
-    async def _tidy(self) -> None:
+    async def _close_unused(self) -> None:
         unused = [
             address
             for address, pool in self.pools.items()
-            if all(each.has_expired() for each in pool.connections)
+            if all(connection.has_expired() for connection in pool.connections)
         ]
         for address in unused:
             await self.pools.pop(address).aclose()
--- a/src/carawayward/gateway/dispatch.py
+++ b/src/carawayward/gateway/dispatch.py
@@ -1,4 +1,8 @@
-"""Sends work to endpoints: queue, choose, run, try another, or refuse."""
+"""Dispatches requests to endpoints.
+
+A request is queued, placed on an endpoint and run there. If the endpoint
+fails, the request is retried on another one or refused.
+"""
 
 import attrs
 import trio
@@ -23,17 +27,22 @@
 
 RETRY_AFTER_MS = 1_000
 MAX_ATTEMPTS = 3
-TRIAL_PAUSE_MS = 300.0
-# A refusal must leave before the border gives up on the request itself.
+SUSPECT_RETRY_DELAY_MS = 300.0
+# A request that stays queued is refused this long before its latest start,
+# so that the refusal ("not run") precedes the deadline, at which
+# ``lifecycle`` ends the request with an unknown outcome.
 REFUSAL_MARGIN_MS = 10.0
-# A later step of a cascade has already cost a run: it goes before its
-# customer's new requests.
-STEP_PRIORITY = 1
+# The earlier steps of a cascade have already been paid for, so a later step
+# is dispatched before the same customer's new requests.
+LATER_STEP_PRIORITY = 1
 
 
 @attrs.define(eq=False)
 class Dispatcher:
-    """Places single runs and calls; knows nothing of plans or bills."""
+    """Places single engine runs and service calls on endpoints.
+
+    Plans of several steps and billing are handled by ``lifecycle``.
+    """
 
     board: blackboard_module.Blackboard
     clock: clock_module.Clock
@@ -42,7 +51,7 @@
     suspects: suspects_module.SuspectsController
     fleet: fleet_module.Fleet
     queues: queues_module.DispatchQueues
-    runs: running.Runs
+    runs: running.RunExecutor
 
     @classmethod
     def from_config(
@@ -53,12 +62,14 @@
         endpoints: endpoints_module.EndpointClient,
         suspects: suspects_module.SuspectsController,
     ) -> "Dispatcher":
-        """Put the parts together."""
+        """Create the dispatcher with its fleet, queues and executor."""
         fleet = fleet_module.Fleet(board)
         queues = queues_module.DispatchQueues(
             clock, fleet, settings.failure_domain, suspects
         )
-        runs = running.Runs(board, clock, endpoints, suspects, fleet, queues)
+        runs = running.RunExecutor(
+            board, clock, endpoints, suspects, fleet, queues
+        )
         return cls(
             board,
             clock,
@@ -71,11 +82,11 @@
         )
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to look at the queues now and then."""
+        """Start the periodic sweep of the queues."""
         await self.queues.start(nursery)
 
     async def close(self) -> None:
-        """Nothing to release."""
+        """Close the queues."""
         await self.queues.close()
 
     async def run_step(
@@ -90,10 +101,11 @@
     ) -> running.StepResult | outcomes.Outcome:
         """Run one step of a plan.
 
-        ``deadline_ms`` is on the own clock; a ``buffered`` step hands its
-        text to ``on_text`` in one piece, once it is whole.
+        ``deadline_ms`` is a time on this process's monotonic clock. A
+        ``buffered`` step passes its text to ``on_text`` in one piece, once
+        the answer is complete.
         """
-        step = running.Step(
+        step = running.StepRun(
             customer=customer,
             request=request,
             version=version,
@@ -107,7 +119,7 @@
             queue=self.queues.find(
                 version, lambda endpoint: version in endpoint.versions
             ),
-            ran=index > 0,
+            may_have_started=index > 0,
         )
         for attempt in range(MAX_ATTEMPTS):
             waiter = await self._acquire(step, attempt)
@@ -128,12 +140,12 @@
 
     async def _end_or_retry(
         self,
-        step: running.Step,
+        step: running.StepRun,
         waiter: queues_module.Waiter,
         fault: errors.EndpointError,
     ) -> outcomes.Outcome | None:
-        """Judge a failed attempt; None means try another endpoint."""
-        step.ran |= fault.sent
+        """Return the outcome of a failed attempt, or None to retry."""
+        step.may_have_started |= fault.sent
         step.excluded |= {fault.endpoint}
         if step.buffered:
             step.parts.clear()
@@ -148,12 +160,13 @@
         if reached and not retry.spend(step.queue.retry_budget, now_ms):
             return self._refuse_failed(step)
         if waiter.suspect and not fault.sent:
-            # Another entry VM's trial may just have crashed the endpoint;
-            # its conviction must arrive before this one tries the next.
-            await self.clock.sleep(TRIAL_PAUSE_MS)
+            # Another entry VM may just have crashed this endpoint with the
+            # same request. Wait until its report of the crash has arrived,
+            # so that a convicted request is not tried on one more endpoint.
+            await self.clock.sleep(SUSPECT_RETRY_DELAY_MS)
         return None
 
-    def _refuse_failed(self, step: running.Step) -> outcomes.Outcome:
+    def _refuse_failed(self, step: running.StepRun) -> outcomes.Outcome:
         return step.refuse(
             outcomes.Reason.ENDPOINT_FAILED,
             "the endpoints that were tried failed; send it again",
@@ -161,15 +174,18 @@
         )
 
     async def _acquire(
-        self, step: running.Step, attempt: int
+        self, step: running.StepRun, attempt: int
     ) -> queues_module.Waiter | outcomes.Outcome:
-        """Wait for an endpoint and check once more before it is used."""
+        """Wait for a slot, then check again that the step may still run.
+
+        Returns the waiter that holds the slot, or the outcome of a refusal.
+        """
         refusal = self._recheck(step)
         if refusal is not None:
             return refusal
         waiter = self._make_waiter(step)
         queue = step.queue
-        self.queues.refresh(queue)
+        self.queues.refresh_candidates(queue)
         if not queue.candidates.views:
             if attempt:
                 return self._refuse_failed(step)
@@ -179,14 +195,15 @@
                 RETRY_AFTER_MS,
             )
         if step.excluded.issuperset(v.name for v in queue.candidates.views):
-            # All have been tried; waiting would only hold the caller.
+            # Every candidate has failed; waiting would only delay the
+            # refusal.
             return self._refuse_failed(step)
         if attempt == 0 and step.index == 0:
-            places = self._share_places(step.customer)
-            early = self.queues.admit(queue, waiter, places)
-            if early is not None:
-                return self._refuse_early(step, early)
-        if not await self.queues.wait(queue, waiter, aside=attempt > 0):
+            queue_limit = self._compute_queue_limit(step.customer)
+            rejection = self.queues.admit(queue, waiter, queue_limit)
+            if rejection is not None:
+                return self._refuse_admission(step, rejection)
+        if not await self.queues.wait(queue, waiter, is_retry=attempt > 0):
             return self._recheck(step) or step.refuse(
                 outcomes.Reason.DEADLINE,
                 "no endpoint was free in time; send it again with a later "
@@ -200,7 +217,7 @@
             return refusal
         return waiter
 
-    def _make_waiter(self, step: running.Step) -> queues_module.Waiter:
+    def _make_waiter(self, step: running.StepRun) -> queues_module.Waiter:
         times, customer = step.queue.times, step.customer.name
         work = admission.expect_work(times, customer)
         latest_ms = admission.find_latest_start(
@@ -211,28 +228,28 @@
             weight=step.customer.weight,
             work=work,
             latest_start_ms=latest_ms - REFUSAL_MARGIN_MS,
-            priority=STEP_PRIORITY if step.index else 0,
+            priority=LATER_STEP_PRIORITY if step.index else 0,
         )
         return queues_module.Waiter(
             item=item,
-            key=placement.hash_key(running.find_prefix(step)),
+            key=placement.hash_key(running.find_cacheable_prefix(step)),
             fingerprint=step.fingerprint,
             excluded=step.excluded,
         )
 
-    def _share_places(self, customer: declaration.Customer) -> int:
+    def _compute_queue_limit(self, customer: declaration.Customer) -> int:
         config = self.board.config
-        known = config.customers.values() if config else ()
+        customers = config.customers.values() if config else ()
         return admission.share_places(
             self.limits.max_waiting,
             customer.weight,
-            sum(other.weight for other in known),
+            sum(other.weight for other in customers),
         )
 
-    def _refuse_early(
-        self, step: running.Step, early: admission.Refusal
+    def _refuse_admission(
+        self, step: running.StepRun, rejection: admission.Refusal
     ) -> outcomes.Outcome:
-        if early.cause is admission.Cause.HOPELESS:
+        if rejection.cause is admission.Cause.HOPELESS:
             return step.refuse(
                 outcomes.Reason.DEADLINE,
                 "the deadline is shorter than such an answer takes; give a "
@@ -242,14 +259,14 @@
             outcomes.Reason.OVERLOADED,
             "your requests exceed your share of what can be served; come "
             "back when told",
-            early.retry_after_ms,
+            rejection.retry_after_ms,
         )
 
-    def _recheck(self, step: running.Step) -> outcomes.Outcome | None:
-        """Check at the dispatch instant what may have changed while queued.
+    def _recheck(self, step: running.StepRun) -> outcomes.Outcome | None:
+        """Refuse a step that is no longer allowed to run.
 
-        A withdrawal or a conviction that arrives while a request waits
-        must hold for it.
+        Called right before dispatch: a version may have been withdrawn or
+        the request convicted while it was queued.
         """
         config = self.board.config
         declared = config.versions.get(step.version) if config else None
@@ -264,7 +281,9 @@
             )
         if self.suspects.is_convicted(step.fingerprint):
             key = step.request.request_key
-            step.ran |= self.suspects.may_have_run(step.fingerprint, key)
+            step.may_have_started |= self.suspects.may_have_run(
+                step.fingerprint, key
+            )
             return step.refuse(
                 outcomes.Reason.CONVICTED,
                 "this request crashed two endpoints; change it, or ask "
@@ -273,12 +292,14 @@
             )
         return None
 
-    def _still_serves(self, step: running.Step, view: placement.View) -> bool:
-        """Whether the endpoint has not left or dropped the version."""
-        known = self.board.endpoints.get(view.name)
-        if known is None or known.leaving:
+    def _still_serves(
+        self, step: running.StepRun, view: placement.View
+    ) -> bool:
+        """Whether the endpoint is staying and still serves the version."""
+        endpoint = self.board.endpoints.get(view.name)
+        if endpoint is None or endpoint.leaving:
             return False
-        return step.version in known.versions
+        return step.version in endpoint.versions
 
     async def call_service(
         self,
@@ -289,30 +310,30 @@
     ) -> outcomes.Outcome:
         """Call a plain service under the same limits as an engine.
 
-        A call that may not be repeated is tried elsewhere only as long as
-        no byte of it can have left, and is never sent twice at once.
+        A call that is not repeatable is retried on another endpoint only if
+        no byte of it can have been sent, and it is never hedged.
         """
         queue = self.queues.find(
             f"pool:{pool}", lambda endpoint: endpoint.pool == pool
         )
         excluded: frozenset[str] = frozenset()
-        ran = False
+        may_have_started = False
         for attempt in range(MAX_ATTEMPTS):
             waiter = await self._acquire_call(
                 customer, call, queue, excluded, attempt
             )
             if isinstance(waiter, outcomes.NotRun):
-                if ran:
+                if may_have_started:
                     break
                 return waiter
             try:
                 return await self.runs.call(queue, waiter, call, operation)
             except errors.EndpointError as fault:
-                ran |= fault.sent
+                may_have_started |= fault.sent
                 excluded |= {fault.endpoint}
                 if not self._may_call_again(queue, operation, fault):
                     break
-        if ran:
+        if may_have_started:
             return outcomes.Unknown(
                 outcomes.Reason.ENDPOINT_SILENT,
                 "it may have run; look before you send it again",
@@ -343,42 +364,43 @@
         excluded: frozenset[str],
         attempt: int,
     ) -> queues_module.Waiter | outcomes.NotRun:
-        self.queues.refresh(queue)
-        missing = outcomes.NotRun(
+        """Wait for a slot for a service call, or return the refusal."""
+        self.queues.refresh_candidates(queue)
+        no_endpoint = outcomes.NotRun(
             outcomes.Reason.NO_ENDPOINT,
             f"no endpoint of {call.service} just now; come back",
             RETRY_AFTER_MS,
         )
         if not any(v.name not in excluded for v in queue.candidates.views):
-            return missing
-        patience_ms = self.limits.service_timeout_ms
+            return no_endpoint
+        wait_limit_ms = self.limits.service_timeout_ms
         if call.deadline_ms is not None:
-            patience_ms = min(patience_ms, call.deadline_ms)
+            wait_limit_ms = min(wait_limit_ms, call.deadline_ms)
         item = queueing.Item(
             customer=customer.name,
             weight=customer.weight,
             work=admission.expect_work(queue.times, customer.name),
-            latest_start_ms=self.clock.now_ms() + patience_ms,
+            latest_start_ms=self.clock.now_ms() + wait_limit_ms,
         )
         waiter = queues_module.Waiter(item=item, key=None, excluded=excluded)
         if attempt == 0:
-            places = self._share_places(customer)
-            early = self.queues.admit(queue, waiter, places)
-            if early is not None:
+            queue_limit = self._compute_queue_limit(customer)
+            rejection = self.queues.admit(queue, waiter, queue_limit)
+            if rejection is not None:
                 return outcomes.NotRun(
                     outcomes.Reason.OVERLOADED,
                     "your calls exceed your share; come back when told",
-                    int(early.retry_after_ms or RETRY_AFTER_MS),
+                    int(rejection.retry_after_ms or RETRY_AFTER_MS),
                 )
-        if not await self.queues.wait(queue, waiter, aside=attempt > 0):
+        if not await self.queues.wait(queue, waiter, is_retry=attempt > 0):
             return outcomes.NotRun(
                 outcomes.Reason.DEADLINE,
                 "no endpoint was free in time; send it again",
                 RETRY_AFTER_MS,
             )
         assert waiter.view is not None
-        known = self.board.endpoints.get(waiter.view.name)
-        if known is None or known.leaving:
+        endpoint = self.board.endpoints.get(waiter.view.name)
+        if endpoint is None or endpoint.leaving:
             self.queues.release(waiter.view)
-            return missing
+            return no_endpoint
         return waiter
--- a/src/carawayward/gateway/endpoints.py
+++ b/src/carawayward/gateway/endpoints.py
@@ -1,4 +1,4 @@
-"""HTTP clients of endpoints: model engines and plain services."""
+"""HTTP client for endpoints, both model engines and plain services."""
 
 import contextlib
 import functools
@@ -24,14 +24,17 @@
 MaySend = typing.Callable[[], bool]
 
 
-def always() -> bool:
-    """Let any call be sent."""
+def allow_sending() -> bool:
+    """Always allow a call to be sent."""
     return True
 
 
 @attrs.frozen(kw_only=True)
 class Report:
-    """An endpoint's own report; ``load`` lags."""
+    """An endpoint's report of its own state.
+
+    ``load`` is already out of date when it is read.
+    """
 
     versions: list[str]
     load: float
@@ -60,7 +63,10 @@
     _nursery: trio.Nursery | None = None
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to watch for silence; runs are cancelled in the nursery."""
+        """Start watching for silent runs.
+
+        The nursery also runs the requests that cancel runs at engines.
+        """
         self._nursery = nursery
         nursery.start_soon(self.watch.run)
 
@@ -69,7 +75,7 @@
         await self.pools.close()
 
     async def fetch_report(self, endpoint: blackboard.Endpoint) -> Report:
-        """Ask an endpoint what it has loaded and how busy it is."""
+        """Fetch an endpoint's report of its versions and load."""
         body = await self._exchange(
             endpoint, "GET", "/report", None, REPORT_TIMEOUT_MS
         )
@@ -90,17 +96,17 @@
         operation: str,
         body: object,
         repeatable: bool,
-        may_send: MaySend = always,
+        may_send: MaySend = allow_sending,
     ) -> typing.Any:
-        """Call a plain service once.
+        """Call a plain service.
 
-        A call that may not be repeated goes over a connection made for it
-        alone: an idle one may have gone silent without either end knowing,
-        and nothing may be sent again once a byte has left.
+        A call that is not repeatable is sent over a new connection: an idle
+        one may have gone silent without either end noticing, and once a
+        byte of such a call has been sent it must not be sent again.
         """
         path = f"/operations/{operation}"
         if not repeatable:
-            return await self._exchange_fresh(
+            return await self._exchange_on_new_connection(
                 endpoint, path, body, may_send, repeatable
             )
         try:
@@ -110,20 +116,20 @@
                 path,
                 body,
                 self.service_timeout_ms,
-                reused_ms=self.silence_limits.connection_ms,
+                reused_timeout_ms=self.silence_limits.connection_ms,
                 may_send=may_send,
             )
         except errors.EndpointError as fault:
             if not fault.silent:
                 raise
-        # An idle connection may have gone silent for good. A repeatable
-        # call waits link_ms on it, not the whole timeout, and goes out
-        # once more on a connection of its own.
-        return await self._exchange_fresh(
+        # The idle connection may have gone silent for good. A repeatable
+        # call waits only ``connection_ms`` on it rather than the whole
+        # timeout, and is then sent once more on a new connection.
+        return await self._exchange_on_new_connection(
             endpoint, path, body, may_send, repeatable
         )
 
-    async def _exchange_fresh(
+    async def _exchange_on_new_connection(
         self,
         endpoint: blackboard.Endpoint,
         path: str,
@@ -146,26 +152,26 @@
     async def run_engine(
         self, endpoint: blackboard.Endpoint, run: Run, on_text: OnText
     ) -> RunEnd:
-        """Run a completion, handing text to ``on_text`` as it arrives.
+        """Run a completion, passing text to ``on_text`` as it arrives.
 
-        Leaving this call early, by cancellation too, cancels the run at the
-        engine, which frees what the run holds.
+        If this call ends early, by cancellation or an error, the run is
+        cancelled at the engine, which frees the run's resources.
         """
         # Two customers may use the same request key, and one caller may
-        # send a key twice: only a run id of its own keeps a resumed stream
-        # from being another request's.
+        # send a key twice. The random suffix makes the run id unique, so
+        # that a resumed stream cannot belong to another request.
         run = attrs.evolve(run, run_id=f"{run.run_id}.{secrets.token_hex(4)}")
         reader = streams.RunReader(
             endpoint, run, self.pools, self.watch, on_text
         )
         try:
-            return await reader.follow()
+            return await reader.read_to_end()
         finally:
             if reader.end is None and reader.sent:
                 self._cancel_run(endpoint, run)
 
     def _cancel_run(self, endpoint: blackboard.Endpoint, run: Run) -> None:
-        """Have the engine free a run, without waiting for it."""
+        """Cancel a run at its engine without waiting for the reply."""
         if self._nursery is not None:
             self._nursery.start_soon(self._delete_run, endpoint, run)
 
@@ -186,19 +192,23 @@
         body: object,
         timeout_ms: float,
         pool: httpcore.AsyncConnectionPool | None = None,
-        reused_ms: float | None = None,
-        may_send: MaySend = always,
+        reused_timeout_ms: float | None = None,
+        may_send: MaySend = allow_sending,
         repeatable: bool = True,
     ) -> typing.Any:
-        """Make one call; wait only ``reused_ms`` on an idle connection."""
+        """Make one call.
+
+        ``reused_timeout_ms`` is the timeout if the call goes over an idle
+        connection; opening a new connection extends it to ``timeout_ms``.
+        """
         content = None if body is None else json.dumps(body).encode()
         pool = pool or await self.pools.get(endpoint.address)
-        first_s = (reused_ms or timeout_ms) / 1000
+        initial_timeout_s = (reused_timeout_ms or timeout_ms) / 1000
         mark = http.SentMark(may_send=may_send)
         try:
-            with trio.fail_after(first_s) as scope:
+            with trio.fail_after(initial_timeout_s) as scope:
                 mark.on_connect = functools.partial(
-                    _extend, scope, timeout_ms / 1000
+                    _extend_deadline, scope, timeout_ms / 1000
                 )
                 response = await pool.request(
                     method,
@@ -229,9 +239,10 @@
 def may_have_run(response: httpcore.Response, repeatable: bool) -> bool:
     """Whether an endpoint that refused a call may still have run it.
 
-    For a call that may not be repeated, a bare 503 proves nothing: a service
-    may give it half way, and so may whatever stands before it. Only one
-    that says in NOT_RUN_HEADER that it did not begin frees the right.
+    For a call that is not repeatable, a bare 503 proves nothing: a service
+    may answer it half-way through, and so may a proxy in front of it. Only
+    a 503 with NOT_RUN_HEADER, by which the service states that it did not
+    begin, allows the call to be sent again.
     """
     if response.status != 503:
         return True
@@ -239,5 +250,5 @@
     return not repeatable and NOT_RUN_HEADER not in named
 
 
-def _extend(scope: trio.CancelScope, seconds: float) -> None:
+def _extend_deadline(scope: trio.CancelScope, seconds: float) -> None:
     scope.deadline = trio.current_time() + seconds
--- a/src/carawayward/gateway/fleet.py
+++ b/src/carawayward/gateway/fleet.py
@@ -1,8 +1,8 @@
-"""What this entry VM knows of the endpoints, kept for placing work.
+"""This entry VM's view of the endpoints, used to place requests.
 
-The blackboard says which endpoints there are and what they report; here
-stands what this entry VM's own requests have taught it: limits, health and
-what is in flight.
+The blackboard holds which endpoints exist and what they report. The fleet
+adds what this entry VM has learned from its own requests: concurrency
+limits, health, and the number of requests in flight.
 """
 
 import typing
@@ -20,42 +20,48 @@
 
 @attrs.define(eq=False)
 class Fleet:
-    """Views of all endpoints, by name."""
+    """Views of all endpoints, by name.
+
+    ``synced`` holds the blackboard's endpoints as of the last ``sync``, and
+    ``generation`` changes whenever the sets of candidates may have changed.
+    """
 
     board: blackboard_module.Blackboard
     views: dict[str, placement.View] = attrs.field(factory=dict)
-    seen: dict[str, blackboard_module.Endpoint] = attrs.field(factory=dict)
-    unreachable: dict[str, float] = attrs.field(factory=dict)
+    synced: dict[str, blackboard_module.Endpoint] = attrs.field(factory=dict)
+    unreachable_since: dict[str, float] = attrs.field(factory=dict)
     generation: int = 0
     entry_vms: int = 0
 
     def sync(self, now_ms: float) -> None:
-        """Take over what the blackboard has learned since the last call.
+        """Update the views from the blackboard.
 
-        Endpoints are compared by identity, so that a call costs little
-        when nothing changed; lists of candidates are made anew only when
-        an endpoint came, left, moved or changed its versions.
+        Endpoints are compared by identity, so a call is cheap when nothing
+        has changed. ``generation`` is increased, so that the lists of
+        candidates are rebuilt, only if an endpoint was added or removed, is
+        reachable again, or changed its address, versions or leaving state.
         """
-        self._count_entry_vms()
+        self._adjust_initial_limits()
         changed = False
         for name, endpoint in self.board.endpoints.items():
-            known = self.seen.get(name)
-            if known is endpoint:
+            previous = self.synced.get(name)
+            if previous is endpoint:
                 continue
-            changed |= self._take(known, endpoint, now_ms)
-        gone = [n for n in self.seen if n not in self.board.endpoints]
+            changed |= self._update_view(previous, endpoint, now_ms)
+        gone = [n for n in self.synced if n not in self.board.endpoints]
         for name in gone:
-            del self.seen[name]
+            del self.synced[name]
             del self.views[name]
-            self.unreachable.pop(name, None)
+            self.unreachable_since.pop(name, None)
         if changed or gone:
             self.generation += 1
 
-    def _count_entry_vms(self) -> None:
-        """Adjust limits that nothing has been learned for yet.
+    def _adjust_initial_limits(self) -> None:
+        """Set limits not yet learned by the number of entry VMs.
 
-        An entry VM that has just started knows no others; with a limit for
-        one alone, many that start together would swamp the endpoints.
+        An entry VM that has just started knows of no others. If all kept
+        the limit for a single entry VM, many that start at the same time
+        would overload the endpoints.
         """
         count = 1 + len(self.board.entry_vms)
         if count != self.entry_vms:
@@ -64,69 +70,76 @@
                 if view.limit.base_ms is None:
                     view.limit.value = limits.find_first(count)
 
-    def _take(
+    def _update_view(
         self,
-        known: blackboard_module.Endpoint | None,
+        previous: blackboard_module.Endpoint | None,
         endpoint: blackboard_module.Endpoint,
         now_ms: float,
     ) -> bool:
+        """Update one view; return whether candidates may have changed."""
         name = endpoint.name
-        self.seen[name] = endpoint
-        if known is None or known.address != endpoint.address:
+        self.synced[name] = endpoint
+        if previous is None or previous.address != endpoint.address:
             self.views[name] = placement.View(
                 name=name, failure_domain=endpoint.failure_domain
             )
             limits.restart(self.views[name].limit, self.entry_vms)
-            self.unreachable.pop(name, None)
+            self.unreachable_since.pop(name, None)
         view = self.views[name]
-        fresh = known is None or known.reported_ms != endpoint.reported_ms
+        fresh = (
+            previous is None or previous.reported_ms != endpoint.reported_ms
+        )
         if fresh and endpoint.reported_ms:
             placement.record_report(view, endpoint.reported_load)
-        back = endpoint.reported_ms > self.unreachable.get(name, now_ms)
+        back = endpoint.reported_ms > self.unreachable_since.get(name, now_ms)
         if back:
-            del self.unreachable[name]
+            del self.unreachable_since[name]
             limits.restart(view.limit, self.entry_vms)
         return (
             back
-            or known is None
-            or known.address != endpoint.address
-            or known.versions != endpoint.versions
-            or known.leaving != endpoint.leaving
+            or previous is None
+            or previous.address != endpoint.address
+            or previous.versions != endpoint.versions
+            or previous.leaving != endpoint.leaving
         )
 
     def find_candidates(self, serves: Serves) -> placement.Candidates:
-        """The endpoints that serve something, reachable and not leaving."""
+        """The endpoints accepted by ``serves``, reachable and not leaving."""
         return placement.Candidates.from_views(
             self.views[name]
-            for name, endpoint in self.seen.items()
+            for name, endpoint in self.synced.items()
             if serves(endpoint)
             and not endpoint.leaving
-            and name not in self.unreachable
+            and name not in self.unreachable_since
         )
 
     def record_unreachable(self, view: placement.View, now_ms: float) -> None:
-        """Take an endpoint that refuses connections out until it reports.
+        """Exclude an endpoint that refuses connections until it reports.
 
-        Nothing can be in flight on it, so this needs no floor: with all of
-        a pool unreachable, callers are told so at once.
+        Unlike ejection, this may exclude a whole pool: nothing can be in
+        flight on an endpoint that refuses connections, and with all of a
+        pool unreachable callers are refused at once.
         """
-        if view.name not in self.unreachable and view.name in self.seen:
-            self.unreachable[view.name] = now_ms
+        if (
+            view.name not in self.unreachable_since
+            and view.name in self.synced
+        ):
+            self.unreachable_since[view.name] = now_ms
             self.generation += 1
 
-    def occupy(self, view: placement.View) -> None:
-        """Count a request in flight."""
+    def begin_request(self, view: placement.View) -> None:
+        """Count a request as in flight."""
         view.in_flight += 1
         self.board.in_flight[view.name] = view.in_flight
         health.begin_probe(view.health)
 
-    def vacate(self, view: placement.View) -> None:
-        """Count a request out."""
+    def end_request(self, view: placement.View) -> None:
+        """Count a request as no longer in flight."""
         view.in_flight -= 1
         self.board.in_flight[view.name] = view.in_flight
 
     def record_success(self, view: placement.View, unit_ms: float) -> None:
-        """Learn from a whole answer."""
+        """Record the time per unit of work of a complete answer."""
         limits.record_part(
             view.limit, view.in_flight, view.others, self.entry_vms
         )
@@ -142,19 +155,22 @@
         now_ms: float,
         overload: bool,
     ) -> None:
-        """Learn from a failure and leave the endpoint out if it is due."""
+        """Record a failure, and eject the endpoint if it is an outlier.
+
+        ``overload`` failures also lower the concurrency limit.
+        """
         health.record_failure(view.health)
         if overload:
             limits.record_overload(view.limit)
-        self.judge(view, candidates, now_ms)
+        self.eject_if_outlier(view, candidates, now_ms)
 
-    def judge(
+    def eject_if_outlier(
         self,
         view: placement.View,
         candidates: placement.Candidates,
         now_ms: float,
     ) -> None:
-        """Eject an outlier."""
+        """Eject the endpoint if its health stands out from its pool's."""
         pool = [other.health for other in candidates.views]
         if health.judge(view.health, pool, now_ms):
             events.log_event(
--- a/src/carawayward/gateway/order_client.py
+++ b/src/carawayward/gateway/order_client.py
@@ -1,4 +1,4 @@
-"""Orders to endpoints over HTTP; a connection of its own for each call."""
+"""HTTP client for the orders that tell endpoints what to serve."""
 
 import typing
 
@@ -16,12 +16,12 @@
 class OrderClient:
     """Reads and sends orders.
 
-    Calls are few and rare, so each opens its own connection: one that lay
-    idle may have gone silent, and an order must not wait on it.
+    Calls are rare, so each opens its own connection: an idle one may have
+    gone silent, and an order must not wait on it.
     """
 
     async def fetch(self, endpoint: blackboard.Endpoint) -> orders.Order:
-        """The order that an endpoint holds."""
+        """Fetch the order that an endpoint currently holds."""
         reply = await self._call(endpoint, "GET", None)
         try:
             return orders.Order(
@@ -40,12 +40,13 @@
         order: orders.Order,
         may_send: typing.Callable[[], bool],
     ) -> bool:
-        """Order an endpoint; False if it refuses an old number.
+        """Send an order; return False if its fencing number is outdated.
 
-        ``may_send`` is asked when the connection stands, right before the
-        first byte: a pause before that point sends nothing.
-        Without an answer the order may have taken effect; what the
-        endpoint holds is read again before anything more is sent.
+        ``may_send`` is called once the connection is open, right before the
+        first byte is sent, so that a process which was paused until then
+        sends no outdated order.
+        Without an answer the order may have taken effect; the caller reads
+        the endpoint's order again before it sends another.
         """
         body = attrs.asdict(order)
         reply = await self._call(endpoint, "PUT", body, may_send)
--- a/src/carawayward/gateway/planning.py
+++ b/src/carawayward/gateway/planning.py
@@ -1,7 +1,7 @@
-"""Chooses versions and plans from what this entry VM has learned.
+"""Chooses versions and plans from this entry VM's local state.
 
-Reads and writes the blackboard's part on quality; asks nobody, so that a
-request waits for no one, in a partition neither.
+Reads and writes the blackboard's quality part. Nothing is asked over the
+network, so planning never delays a request, not even in a partition.
 """
 
 import typing
@@ -15,18 +15,23 @@
 from carawayward import declaration
 from carawayward import quality
 
-# A task that goes to the strong version alone shows nothing of the cheap
-# one. This share still takes the declared plan, whose check is safe.
-EXPLORED_SHARE = 0.02
-# The usual time of a version's answers: a running 95th percentile, moved
-# by a share of itself with each answer.
-USUAL_STEP = 0.05
-USUAL_QUANTILE = 0.95
+# While a task goes to the strong version alone, nothing is learned about
+# the cheap one. This share of its requests still takes the declared plan,
+# which is safe since it checks the cheap answer.
+EXPLORATION_SHARE = 0.02
+# The usual time of a version's answers is a running estimate of their 95th
+# percentile. Each answer moves it by at most this share of itself.
+PERCENTILE_STEP = 0.05
+PERCENTILE = 0.95
 
 
 @attrs.frozen(kw_only=True)
 class Plan:
-    """The steps to run, and the unproven versions that they spend for."""
+    """The steps to run.
+
+    ``charged_versions`` are the versions under roll-out whose exposure
+    budget has been charged for this request.
+    """
 
     steps: list[cascade.Step]
     charged_versions: frozenset[str] = frozenset()
@@ -38,11 +43,11 @@
     subject: str,
     answers: int | None = None,
 ) -> dict[str, str]:
-    """Versions by model for a session, or for one request without one.
+    """Choose a version of each model for a session or a single request.
 
-    ``subject`` is the session's id or the request's key. ``answers`` is
-    what the pins will be used for; by default a session's usual number.
-    An unproven version spends that much of its budget here.
+    ``subject`` is the session's id or the request's key. ``answers`` is the
+    number of answers that the pins will be used for, by default that of a
+    usual session. A version under roll-out is charged for that many.
     """
     config = board.config
     assert config is not None
@@ -52,20 +57,23 @@
         version = cascade.choose_version(model, {})
         trial = board.quality.trials.get(name)
         if trial is not None:
-            picked = config.versions[_pick(board, trial, subject, answers)]
-            if picked.state is not declaration.VersionState.WITHDRAWN:
-                version = picked
+            candidate = config.versions[
+                _choose_rollout_version(board, trial, subject, answers)
+            ]
+            if candidate.state is not declaration.VersionState.WITHDRAWN:
+                version = candidate
         if version is not None:
             pins[name] = version.name
     return pins
 
 
-def _pick(
+def _choose_rollout_version(
     board: blackboard_module.Blackboard,
     trial: quality.Trial,
     subject: str,
     answers: int | None,
 ) -> str:
+    """The old or new version of a roll-out; charges the new one's budget."""
     declared = trial.declared
     if trial.progress.halted or trial.progress.stage < 0:
         return declared.from_version
@@ -73,8 +81,8 @@
         return declared.to_version if trial.open else declared.from_version
     if not trial.open or board.name not in trial.holders:
         return declared.from_version
-    wanted = declared.session_answers if answers is None else answers
-    if find_room(board, trial) < wanted:
+    needed = declared.session_answers if answers is None else answers
+    if find_remaining_answers(board, trial) < needed:
         return declared.from_version
     if not exposure.takes_canary(
         subject,
@@ -84,14 +92,14 @@
         len(trial.holders),
     ):
         return declared.from_version
-    spend(board, trial, wanted)
+    spend(board, trial, needed)
     return declared.to_version
 
 
-def find_room(
+def find_remaining_answers(
     board: blackboard_module.Blackboard, trial: quality.Trial
 ) -> float:
-    """Answers that this entry VM may still give by a trial's version."""
+    """How many answers of a roll-out's new version may still be given here."""
     accounts = board.quality.accounts.get(trial.account, {})
     return exposure.find_room(
         trial.budget,
@@ -105,7 +113,7 @@
 def spend(
     board: blackboard_module.Blackboard, trial: quality.Trial, answers: int
 ) -> None:
-    """Note answers of an unproven version before they are given."""
+    """Charge a roll-out's budget for answers before they are given."""
     accounts = board.quality.accounts.setdefault(trial.account, {})
     own = accounts.get(board.incarnation, exposure.Spent())
     accounts[board.incarnation] = exposure.spend(own, answers)
@@ -119,7 +127,7 @@
     pins: dict[str, str],
     left_ms: float,
 ) -> Plan:
-    """The plan of one request; no steps when no version may run."""
+    """Choose the plan of one request; it is empty if no version may run."""
     config = board.config
     assert config is not None
     allowed = frozenset(customer.models)
@@ -129,10 +137,10 @@
             customer, models=[m for m in task.cascade if m in allowed]
         )
         pins = choose_pins(board, mine, request_key, 1)
-        charged_versions = _list_unproven(part, pins.values())
+        charged_versions = _list_rollout_versions(part, pins.values())
     else:
         used = [pins[name] for name in task.cascade if name in pins]
-        charged_versions = _list_unproven(part, used)
+        charged_versions = _list_rollout_versions(part, used)
         for version in charged_versions:
             trial = part.find_trial(version)
             if trial is not None:
@@ -143,7 +151,7 @@
     return Plan(steps=steps, charged_versions=charged_versions)
 
 
-def _list_unproven(
+def _list_rollout_versions(
     part: quality.QualityPart, versions: typing.Iterable[str]
 ) -> frozenset[str]:
     return frozenset(v for v in versions if part.find_trial(v) is not None)
@@ -163,24 +171,26 @@
     cache_key = (customer.name, task.name, *versions)
     chosen = part.plans.get(cache_key)
     if chosen is None:
-        parts = read_parts(board, customer.name, task.name, versions)
+        parts = read_cascade_evidence(
+            board, customer.name, task.name, versions
+        )
         chosen = cascade.choose_plan(declared, parts, task.target)
         part.plans[cache_key] = chosen
-    alone = chosen == [declared[-1]]
-    if alone and exposure.rank(request_key, "explore") < (
-        EXPLORED_SHARE * 2.0**64
+    strong_only = chosen == [declared[-1]]
+    if strong_only and exposure.rank(request_key, "explore") < (
+        EXPLORATION_SHARE * 2.0**64
     ):
         return declared
     return chosen
 
 
-def read_parts(
+def read_cascade_evidence(
     board: blackboard_module.Blackboard,
     customer: str,
     task: str,
     versions: tuple[str, str],
 ) -> cascade.Parts:
-    """What ratings say of a customer's cascade, decayed to now."""
+    """The ratings of a customer's cascade, with older ones decayed."""
     config = board.config
     assert config is not None
     known = board.quality.evidence
@@ -193,12 +203,12 @@
         return evidence.decay(known.totals.get(key, {}), known.newest)
 
     bands = range(evidence.BANDS)
-    sent_on = [count(versions[1], band, True) for band in bands]
+    escalated_counts = [count(versions[1], band, True) for band in bands]
     return cascade.Parts(
         cheap=config.versions[versions[0]],
         strong=config.versions[versions[1]],
         bands=tuple(count(versions[0], band, False) for band in bands),
-        strong_count=sum(sent_on, evidence.Count()),
+        strong_count=sum(escalated_counts, evidence.Count()),
     )
 
 
@@ -208,21 +218,23 @@
     rated_share: float,
     took_ms: float,
 ) -> None:
-    """Learn from one step's answer, and send it to be rated if sampled.
+    """Record the time of one step's answer, and queue it for rating.
 
-    Every answer of an unproven version is; a cheap answer that the check
-    sent on is sampled like any other, so that what its threshold keeps
-    back is known at no extra run.
+    Every answer of a version under roll-out is rated, and a sample of the
+    others. The sample includes cheap answers that the check escalated, so
+    the quality of answers below the threshold is known without extra runs.
     """
     part = board.quality
     version = sample.key.version
-    usual = part.usual_ms.get(version, took_ms)
-    above = took_ms > usual
-    pull = USUAL_QUANTILE if above else USUAL_QUANTILE - 1
-    part.usual_ms[version] = max(1.0, usual * (1 + USUAL_STEP * pull))
-    unproven = part.find_trial(version) is not None
-    drawn = exposure.rank(sample.answer_id, "rate") < rated_share * 2.0**64
-    if unproven or drawn:
+    estimate_ms = part.usual_ms.get(version, took_ms)
+    above = took_ms > estimate_ms
+    direction = PERCENTILE if above else PERCENTILE - 1
+    part.usual_ms[version] = max(
+        1.0, estimate_ms * (1 + PERCENTILE_STEP * direction)
+    )
+    in_rollout = part.find_trial(version) is not None
+    sampled = exposure.rank(sample.answer_id, "rate") < rated_share * 2.0**64
+    if in_rollout or sampled:
         generation = part.find_generation(version)
         key = attrs.evolve(sample.key, generation=generation)
         part.put(attrs.evolve(sample, key=key))
@@ -231,7 +243,7 @@
 def release(
     board: blackboard_module.Blackboard, plan: Plan, ran: typing.Iterable[str]
 ) -> None:
-    """Give back what was spent for unproven versions that did not run."""
+    """Refund the charges for versions under roll-out that did not run."""
     for version in plan.charged_versions - set(ran):
         trial = board.quality.find_trial(version)
         if trial is None:
--- a/src/carawayward/gateway/queues.py
+++ b/src/carawayward/gateway/queues.py
@@ -1,7 +1,7 @@
-"""Queues before the endpoints: one lane for each version and each pool.
+"""Dispatch queues, one for each model version and each service pool.
 
-A request waits here until an endpoint has room for it, its time runs out or
-its caller leaves; the decisions themselves are in ``decisions``.
+A request waits here until an endpoint has a free slot, its time runs out or
+its caller disconnects. The scheduling rules themselves are in ``decisions``.
 """
 
 import random
@@ -18,16 +18,18 @@
 from carawayward.decisions import retry
 from carawayward.gateway import fleet as fleet_module
 
-# How often membership is looked at and lanes with waiting work are gone
-# through without a cause of their own, such as an ejection that ran out.
-TICK_MS = 100.0
+# How often endpoint membership is synchronized and all non-empty queues are
+# dispatched. This catches changes that trigger no dispatch themselves, such
+# as the end of an ejection.
+SWEEP_INTERVAL_MS = 100.0
 
 
 @attrs.define(eq=False, kw_only=True)
 class Waiter:
-    """A request in a lane; ``view`` is set when it may start.
+    """A queued request; ``view`` is set once it has a slot on an endpoint.
 
-    ``suspect`` tells whether it starts as a suspect's trial.
+    ``suspect`` tells whether the slot is for the trial run of a request
+    that is suspected of crashing endpoints.
     """
 
     item: queueing.Item
@@ -41,7 +43,10 @@
 
 @attrs.define(eq=False, kw_only=True)
 class DispatchQueue:
-    """The state of one queue; ``side`` holds retries, which go first."""
+    """Waiting requests and learned state of one version or service pool.
+
+    ``retry_waiters`` holds retries, which are dispatched first.
+    """
 
     serves: fleet_module.Serves
     fair_queue: queueing.FairQueue = attrs.field(factory=queueing.FairQueue)
@@ -57,21 +62,21 @@
         factory=lambda: placement.Candidates.from_views([])
     )
     generation: int = -1
-    served_ms: float = 0.0
+    last_served_ms: float = 0.0
 
     @property
     def waiting(self) -> bool:
-        """Whether any request waits."""
+        """Whether any request is waiting."""
         return bool(self.retry_waiters or self.fair_queue.count)
 
 
 @attrs.define(eq=False)
 class DispatchQueues:
-    """All lanes of this entry VM.
+    """All dispatch queues of this entry VM.
 
-    Lanes are not dropped: a request on its way holds its lane, and one that
-    is no longer gone through would keep it waiting. There are as many as
-    versions and pools have been declared since the start.
+    Queues are never removed: a request in progress keeps a reference to its
+    queue, and would wait in vain if that queue were no longer dispatched.
+    Their number is that of the versions and pools used since the start.
     """
 
     clock: clock_module.Clock
@@ -82,66 +87,70 @@
     queues: dict[str, DispatchQueue] = attrs.field(factory=dict)
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to look at the lanes now and then."""
-        nursery.start_soon(self._tick)
+        """Start the periodic sweep."""
+        nursery.start_soon(self._sweep)
 
     async def close(self) -> None:
         """Nothing to release; the nursery ends the task."""
 
-    async def _tick(self) -> None:
+    async def _sweep(self) -> None:
         while True:
             self.fleet.sync(self.clock.now_ms())
-            self.pump_all()
-            await self.clock.sleep(TICK_MS)
+            self.dispatch_all()
+            await self.clock.sleep(SWEEP_INTERVAL_MS)
 
     def find(self, name: str, serves: fleet_module.Serves) -> DispatchQueue:
-        """The lane of a version or pool, with its candidates up to date."""
+        """Return the queue of a version or pool with current candidates.
+
+        ``serves`` tells which endpoints are candidates of a new queue.
+        """
         queue = self.queues.get(name)
         if queue is None:
-            # What was learned since the last tick may serve it.
+            # An endpoint that was added since the last sweep may serve it.
             self.fleet.sync(self.clock.now_ms())
             queue = self.queues[name] = DispatchQueue(serves=serves)
-        self.refresh(queue)
+        self.refresh_candidates(queue)
         return queue
 
-    def refresh(self, queue: DispatchQueue) -> None:
-        """Make the list of candidates anew if membership has changed."""
+    def refresh_candidates(self, queue: DispatchQueue) -> None:
+        """Rebuild the list of candidates if membership has changed."""
         if queue.generation != self.fleet.generation:
             queue.candidates = self.fleet.find_candidates(queue.serves)
             queue.generation = self.fleet.generation
 
     def admit(
-        self, queue: DispatchQueue, waiter: Waiter, places: int
+        self, queue: DispatchQueue, waiter: Waiter, queue_limit: int
     ) -> admission.Refusal | None:
-        """Refuse a request that cannot be served in time, or None."""
+        """Return a refusal if the request cannot be served in time."""
         slots = sum(view.limit.value for view in queue.candidates.views)
         return admission.decide(
             queue.fair_queue,
             waiter.item,
             self.clock.now_ms(),
             slots,
-            places,
+            queue_limit,
             queue.promises,
         )
 
     async def wait(
-        self, queue: DispatchQueue, waiter: Waiter, aside: bool
+        self, queue: DispatchQueue, waiter: Waiter, is_retry: bool
     ) -> bool:
-        """Wait for a slot; False when none came in time, or may any more.
+        """Wait for a slot; return whether one was granted.
 
-        A caller that leaves frees its place at once, and a slot that was
-        granted in the same moment is handed on.
+        The result is False if none was free in time, or if the request was
+        convicted meanwhile. Cancellation removes the request from the queue
+        at once and releases a slot that was granted at the same moment.
         """
-        if aside:
+        if is_retry:
             queue.retry_waiters.append(waiter)
         else:
             waiter.item.payload = waiter
             queueing.push(queue.fair_queue, waiter.item)
-        self.pump(queue)
-        patience_ms = waiter.item.latest_start_ms - self.clock.now_ms()
+        self.dispatch_waiting(queue)
+        wait_limit_ms = waiter.item.latest_start_ms - self.clock.now_ms()
         try:
             if waiter.view is None:
-                with trio.move_on_after(max(0.0, patience_ms) / 1000):
+                with trio.move_on_after(max(0.0, wait_limit_ms) / 1000):
                     await waiter.event.wait()
         except BaseException:
             if waiter.view is not None:
@@ -156,25 +165,25 @@
     def release(
         self, view: placement.View, trial: Waiter | None = None
     ) -> None:
-        """Free a slot, end its trial, and give it to whoever waits."""
+        """Free a slot, end its trial if any, and dispatch all queues."""
         if trial is not None and trial.suspect:
             self.suspects.end_trial(trial.fingerprint, view.name)
-        self.fleet.vacate(view)
-        self.pump_all()
-
-    def pump_all(self) -> None:
-        """Start what can be started, the lane served longest ago first."""
-        busy = [queue for queue in self.queues.values() if queue.waiting]
-        for queue in sorted(busy, key=lambda queue: queue.served_ms):
-            self.pump(queue)
-
-    def pump(self, queue: DispatchQueue) -> None:
-        """Start what can be started in one lane."""
-        self.refresh(queue)
-        while self._start_one(queue):
-            queue.served_ms = self.clock.now_ms()
-
-    def _start_one(self, queue: DispatchQueue) -> bool:
+        self.fleet.end_request(view)
+        self.dispatch_all()
+
+    def dispatch_all(self) -> None:
+        """Dispatch from all queues, the least recently served one first."""
+        nonempty = [queue for queue in self.queues.values() if queue.waiting]
+        for queue in sorted(nonempty, key=lambda queue: queue.last_served_ms):
+            self.dispatch_waiting(queue)
+
+    def dispatch_waiting(self, queue: DispatchQueue) -> None:
+        """Grant slots to a queue's requests for as long as there are any."""
+        self.refresh_candidates(queue)
+        while self._dispatch_one(queue):
+            queue.last_served_ms = self.clock.now_ms()
+
+    def _dispatch_one(self, queue: DispatchQueue) -> bool:
         for waiter in queue.retry_waiters:
             if self._place(queue, waiter) is not None:
                 queue.retry_waiters.remove(waiter)
@@ -191,8 +200,8 @@
         suspect, trial = False, None
         if waiter.fingerprint:
             if self.suspects.is_convicted(waiter.fingerprint):
-                # Its trial will not come: it is refused now rather than
-                # held until its deadline.
+                # A convicted request gets no trial. Wake it without a slot,
+                # so that it is refused now and not at its deadline.
                 waiter.event.set()
                 return None
             suspect, trial = self.suspects.find_trial(
@@ -210,14 +219,14 @@
                 waiter.excluded,
             )
         elif trial is not None:
-            home = self.fleet.views[trial]
-            if limits.has_room(home.limit, home.in_flight):
-                view = home
+            trial_view = self.fleet.views[trial]
+            if limits.has_room(trial_view.limit, trial_view.in_flight):
+                view = trial_view
         if view is None:
             return None
         waiter.view, waiter.suspect = view, suspect
         if suspect:
             self.suspects.begin_trial(waiter.fingerprint, view.name)
-        self.fleet.occupy(view)
+        self.fleet.begin_request(view)
         waiter.event.set()
         return view
--- a/src/carawayward/gateway/running.py
+++ b/src/carawayward/gateway/running.py
@@ -1,4 +1,7 @@
-"""Runs a request on the endpoint chosen for it, and learns from it."""
+"""Runs requests on chosen endpoints and records the results.
+
+Latency, failures and crashes feed the decisions about later requests.
+"""
 
 import typing
 
@@ -22,18 +25,20 @@
 from carawayward import http_client as http
 from carawayward import outcomes
 
-# What an answer costs before its first token, in tokens: without it a very
-# short answer would make its endpoint look many times slower than others.
-UNIT_BASE = 16
-# An answer whose caller held it up for more of its time teaches nothing.
-MOST_HELD_UP = 0.1
+# The fixed cost of an answer before its first token, in tokens. Without it
+# a very short answer would make its endpoint look many times slower than
+# others, since latency is compared per token.
+BASE_COST_TOKENS = 16
+# An answer is not used to measure its endpoint if writing to the caller
+# took more than this share of its time.
+MAX_CALLER_BLOCKED_SHARE = 0.1
 
 OnText = typing.Callable[[str], typing.Awaitable[None]]
 
 
 @attrs.frozen
 class StepResult:
-    """One finished step of a plan."""
+    """The result of a completed step of a plan."""
 
     text: str
     endpoint: str
@@ -41,11 +46,13 @@
 
 
 @attrs.define(eq=False, kw_only=True)
-class Step:
-    """One step on its way; ``ran`` once a byte of the request has left.
+class StepRun:
+    """The state of one step of a plan while it is queued and run.
 
-    A ``buffered`` step passes its text on only when it is whole, so that a
-    run that breaks off may start anew: nothing has reached the caller.
+    ``may_have_started`` is set once an engine may have begun to work on the
+    request; from then on a refusal must not say "not run". A ``buffered``
+    step passes its text on only when the answer is complete, so a run that
+    breaks off can be started again: nothing has reached the caller.
     """
 
     customer: declaration.Customer
@@ -57,13 +64,13 @@
     buffered: bool
     fingerprint: str
     queue: queues_module.DispatchQueue
-    ran: bool = False
+    may_have_started: bool = False
     excluded: frozenset[str] = frozenset()
     parts: list[str] = attrs.field(factory=list)
     runs: int = 0
 
     async def collect(self, text: str) -> None:
-        """Pass a piece of the answer on and keep it."""
+        """Keep a piece of the answer; pass it on unless buffered."""
         self.parts.append(text)
         if not self.buffered:
             await self.on_text(text)
@@ -74,18 +81,19 @@
         remedy: str,
         retry_after_ms: float | None = None,
     ) -> outcomes.Outcome:
-        """Refuse truthfully: "not run" only if nothing has left."""
-        if self.ran:
+        """Refuse with "not run" only if no engine may have started."""
+        if self.may_have_started:
             return outcomes.Unknown(reason, remedy)
         after = None if retry_after_ms is None else int(retry_after_ms)
         return outcomes.NotRun(reason, remedy, after)
 
 
-def find_prefix(step: Step) -> str:
-    """What the engine's prefix cache can be expected to know again.
+def find_cacheable_prefix(step: StepRun) -> str:
+    """The part of a prompt that the engine's prefix cache is likely to hold.
 
-    The opening messages stay the same through a conversation; the later
-    ones change with each turn and would send every turn elsewhere.
+    The opening messages stay the same throughout a conversation. Including
+    later messages, which change with each turn, would send every turn to a
+    different endpoint.
     """
     messages = step.request.messages
     count = 2 if messages[0]["role"] == "system" else 1
@@ -95,29 +103,29 @@
 
 @attrs.define(eq=False)
 class Watch:
-    """Measures one run's text on its way to the caller."""
+    """Measures the streaming of one run's text to the caller."""
 
     clock: clock_module.Clock
     queue: queues_module.DispatchQueue
     on_text: OnText
     began_ms: float
-    held_up_ms: float = 0.0
-    pieces: int = 0
+    caller_blocked_ms: float = 0.0
+    chunks: int = 0
 
     async def write(self, text: str) -> None:
-        """Pass a piece on; learn when the first comes."""
+        """Pass a piece on; record the time to the first one."""
         now_ms = self.clock.now_ms()
-        self.pieces += 1
-        if self.pieces == 1:
+        self.chunks += 1
+        if self.chunks == 1:
             first_ms = now_ms - self.began_ms
             retry.record_first_text(self.queue.first_text, first_ms)
         await self.on_text(text)
-        self.held_up_ms += self.clock.now_ms() - now_ms
+        self.caller_blocked_ms += self.clock.now_ms() - now_ms
 
 
 @attrs.define(eq=False)
-class Runs:
-    """Carries out single runs and calls."""
+class RunExecutor:
+    """Carries out single engine runs and service calls."""
 
     board: blackboard_module.Blackboard
     clock: clock_module.Clock
@@ -127,29 +135,30 @@
     queues: queues_module.DispatchQueues
 
     async def run(
-        self, step: Step, waiter: queues_module.Waiter
+        self, step: StepRun, waiter: queues_module.Waiter
     ) -> StepResult:
-        """Run on the endpoint that was chosen, hedged if that may help."""
+        """Run on the waiter's endpoint, with a hedge if it stays silent."""
         assert waiter.view is not None
         views = [waiter.view]
         queue = step.queue
 
-        def make_second() -> hedging.Runner | None:
-            view = self._choose_second(step, views[0])
+        def make_hedge() -> hedging.Runner | None:
+            view = self._choose_hedge_view(step, views[0])
             if view is None:
                 return None
             views.append(view)
             return self._make_runner(step, view, None)
 
-        race = hedging.HedgedRun(step.collect)
+        hedged_run = hedging.HedgedRun(step.collect)
         delay_ms = None
         if not waiter.suspect:
             delay_ms = retry.find_hedge_delay(queue.first_text)
         runner = self._make_runner(step, views[0], waiter)
-        index, end = await race.run(runner, delay_ms, make_second)
-        if index and not race.faults:
-            # The silent first run was cancelled: without this its endpoint
-            # would look idle and go on drawing requests.
+        index, end = await hedged_run.run(runner, delay_ms, make_hedge)
+        if index and not hedged_run.faults:
+            # The first run was silent and has been cancelled. Unless that
+            # is recorded as a failure, its endpoint looks idle and keeps
+            # attracting requests.
             self.fleet.record_failure(
                 views[0], queue.candidates, self.clock.now_ms(), False
             )
@@ -161,12 +170,13 @@
             await step.on_text(text)
         return StepResult(text, views[index].name, end)
 
-    def _choose_second(
-        self, step: Step, first: placement.View
+    def _choose_hedge_view(
+        self, step: StepRun, first: placement.View
     ) -> placement.View | None:
-        """Take a free slot elsewhere for a hedge, if the budget allows.
+        """Take a slot on another endpoint for a hedge, if the budget allows.
 
-        Never while others wait: a slot does more for a first run.
+        No hedge is started while requests are queued: the slot is more
+        useful for a first run.
         """
         now_ms = self.clock.now_ms()
         queue = step.queue
@@ -183,16 +193,16 @@
         if view is None or not retry.spend(queue.hedge_budget, now_ms):
             return None
         events.log_event(events.Event.REQUEST_HEDGED, endpoint=first.name)
-        self.fleet.occupy(view)
+        self.fleet.begin_request(view)
         return view
 
     def _make_runner(
         self,
-        step: Step,
+        step: StepRun,
         view: placement.View,
         waiter: queues_module.Waiter | None,
     ) -> hedging.Runner:
-        """A run on a slot that is already taken; it frees the slot."""
+        """Return a run on a slot that is already taken; it frees the slot."""
         request = step.request
         run = endpoints_module.Run(
             run_id=f"{request.request_key}.{step.index}.{step.runs}",
@@ -218,7 +228,7 @@
                     self._record_work(step.queue, waiter, now_ms - began_ms)
                 raise
             except errors.EndpointError as fault:
-                await self._record_failure(step, view, fault)
+                await self._handle_run_failure(step, view, fault)
                 raise
             finally:
                 self.queues.release(view, waiter)
@@ -233,19 +243,19 @@
         watch: "Watch",
         end: endpoints_module.RunEnd,
     ) -> None:
-        """Learn from a whole answer how fast its endpoint is.
+        """Record the endpoint's latency from a complete answer.
 
-        A caller that reads slowly holds up the engine; that says nothing
-        about the endpoint, which would be left out for it.
+        A caller that reads slowly delays the engine; counting that time
+        could eject an endpoint that is healthy.
         """
         now_ms = self.clock.now_ms()
         took_ms = now_ms - watch.began_ms
         self._record_work(queue, waiter, took_ms)
-        if watch.held_up_ms > MOST_HELD_UP * took_ms:
+        if watch.caller_blocked_ms > MAX_CALLER_BLOCKED_SHARE * took_ms:
             return
-        unit_ms = took_ms / (end.output_tokens + UNIT_BASE)
+        unit_ms = took_ms / (end.output_tokens + BASE_COST_TOKENS)
         self.fleet.record_success(view, unit_ms)
-        self.fleet.judge(view, queue.candidates, now_ms)
+        self.fleet.eject_if_outlier(view, queue.candidates, now_ms)
 
     def _record_work(
         self,
@@ -257,16 +267,16 @@
             customer = waiter.item.customer
             admission.record_work(queue.times, customer, took_ms)
 
-    async def _record_failure(
-        self, step: Step, view: placement.View, fault: errors.EndpointError
+    async def _handle_run_failure(
+        self, step: StepRun, view: placement.View, fault: errors.EndpointError
     ) -> None:
-        """Learn from a failed run, and look whether it was a crash.
+        """Record a failed run, and find out whether the endpoint crashed.
 
         A run that breaks off on an endpoint that then refuses connections
-        has crashed it, or was in flight when another did. Silence is no
-        crash: cut-off networks look the same.
+        has crashed it, or was in flight when another request did. Silence
+        does not count as a crash: a network partition looks the same.
         """
-        self._record_fault(step.queue, view, fault)
+        self._record_endpoint_fault(step.queue, view, fault)
         if not fault.sent or fault.silent or fault.status is not None:
             return
         self.suspects.begin_judging(step.fingerprint)
@@ -292,14 +302,15 @@
             return not fault.silent and fault.status is None
         return False
 
-    def _record_fault(
+    def _record_endpoint_fault(
         self,
         queue: queues_module.DispatchQueue,
         view: placement.View,
         fault: errors.EndpointError,
     ) -> None:
         if isinstance(fault.__cause__, http.TooLate):
-            # The call itself was stopped; the endpoint is not to blame.
+            # The call was stopped on this side before its first byte; the
+            # endpoint is not at fault.
             return
         events.log_event(
             events.Event.ENDPOINT_FAILED,
@@ -319,7 +330,7 @@
         call: requests.ServiceCall,
         operation: declaration.Operation,
     ) -> outcomes.Answered:
-        """Call a plain service on a slot that is taken, and free it."""
+        """Call a plain service on the waiter's slot, then free the slot."""
         view = waiter.view
         assert view is not None
         began_ms = self.clock.now_ms()
@@ -332,13 +343,13 @@
                 call.may_send,
             )
         except errors.EndpointError as fault:
-            self._record_fault(queue, view, fault)
+            self._record_endpoint_fault(queue, view, fault)
             raise
         finally:
             self.queues.release(view)
         took_ms = self.clock.now_ms() - began_ms
         self.fleet.record_success(view, took_ms)
-        self.fleet.judge(view, queue.candidates, began_ms)
+        self.fleet.eject_if_outlier(view, queue.candidates, began_ms)
         self._record_work(queue, waiter, took_ms)
         retry.record_success(queue.retry_budget)
         return outcomes.Answered(
--- a/src/carawayward/gateway/streams.py
+++ b/src/carawayward/gateway/streams.py
@@ -1,8 +1,8 @@
-"""One run on one engine, followed to its end mark.
+"""Streams one run from an engine until its end event.
 
-A run outlives the connection that it is read from: when a connection breaks
-or goes silent, the same run is read on from its offset over a new one. Only
-a run that the engine no longer has is lost.
+A run outlives the connection that it is read from. When a connection breaks
+or goes silent, reading of the same run resumes at its offset over a new
+connection. A run is lost only if the engine no longer has it.
 """
 
 import hashlib
@@ -21,15 +21,15 @@
 from carawayward.gateway import replies
 from carawayward import http_client as http
 
-# What may wait between the engine and the caller of one stream. A caller
-# that reads slowly fills this, then its engine connection, then the engine
-# stops: memory does not grow with the length of the answer.
-MAX_PENDING = 32_768
+# Characters buffered between the engine and the caller of one stream. A
+# slow caller fills this buffer, then the engine connection, and then the
+# engine stops, so memory does not grow with the length of the answer.
+MAX_PENDING_CHARS = 32_768
 WATCH_INTERVAL_S = 0.1
-DRAIN_S = 0.02
+BODY_END_TIMEOUT_S = 0.02
 MAX_LINE_BYTES = 1_000_000
 MAX_RESUMES = 20
-CONNECT_S = 2.0
+CONNECT_TIMEOUT_S = 2.0
 
 OnText = typing.Callable[[str], typing.Awaitable[None]]
 
@@ -47,7 +47,7 @@
 
 @attrs.frozen(kw_only=True)
 class RunEnd:
-    """An engine's closing report of a run."""
+    """The engine's end event: its own totals for the whole run."""
 
     length: int
     input_tokens: int
@@ -59,9 +59,9 @@
 class SilenceLimits:
     """How long a run may be silent, in milliseconds.
 
-    ``link_ms`` without a byte casts doubt on the connection: the run is
-    looked for over a new one. ``engine_ms`` without a token, over however
-    many connections, ends the attempt.
+    After ``connection_ms`` without a byte the connection is presumed dead
+    and the run is resumed over a new one. After ``engine_ms`` without a
+    token, over any number of connections, the attempt fails.
     """
 
     connection_ms: float
@@ -73,21 +73,21 @@
 
 
 class StreamCut(Exception):
-    """A stream ended before the run's end mark."""
+    """A stream ended before the run's end event."""
 
 
 @attrs.define(eq=False)
 class SilenceWatch:
-    """Ends the waits of all runs whose connection has gone silent."""
+    """Cancels reads from connections that have been silent for too long."""
 
     silence_limits: SilenceLimits
     readings: set[connections.Reading] = attrs.field(factory=set)
 
     async def run(self) -> None:
-        """Look at all waiting runs, again and again."""
-        link_s = self.silence_limits.connection_ms / 1000
+        """Check all waiting reads periodically."""
+        connection_s = self.silence_limits.connection_ms / 1000
         while True:
-            oldest = trio.current_time() - link_s
+            oldest = trio.current_time() - connection_s
             for reading in self.readings:
                 since = reading.waiting_since
                 if since is not None and since < oldest:
@@ -97,9 +97,12 @@
 
 @attrs.define(eq=False)
 class RunReader:
-    """Reads one run; ``offset`` counts the tokens that have arrived.
+    """Reads one run from its engine.
 
-    ``sent`` says whether the engine may have seen the run.
+    ``offset`` counts the tokens received and ``length`` the characters
+    passed on. ``sent`` tells whether the engine may have seen the run.
+    ``start_count`` counts the requests to start it, and ``heard`` is when
+    the last progress was seen.
     """
 
     endpoint: blackboard.Endpoint
@@ -110,15 +113,15 @@
     offset: int = 0
     length: int = 0
     sent: bool = False
-    starts: int = 0
+    start_count: int = 0
     heard: float = 0.0
     end: RunEnd | None = None
     _parts: list[str] = attrs.field(factory=list)
-    _pending: int = 0
+    _pending_chars: int = 0
     _digest: typing.Any = attrs.field(factory=hashlib.sha256)
 
-    async def follow(self) -> RunEnd:
-        """Read the run to its end mark, over new connections if need be.
+    async def read_to_end(self) -> RunEnd:
+        """Read the run to its end event, resuming over new connections.
 
         Raises EndpointError when the engine does not have the run or has
         been silent for too long.
@@ -130,15 +133,15 @@
             try:
                 return await self._read_once(resume)
             except RunGone:
-                # It never arrived: the request went out on a connection
-                # that had gone silent while idle. It starts once more, on
-                # a new connection and under the same run id.
-                if self.offset or self.starts > 1:
-                    raise self._fail("it lost the run") from None
+                # The start request never arrived: it was sent on a
+                # connection that had gone silent while idle. Start the run
+                # once more, on a new connection and under the same run id.
+                if self.offset or self.start_count > 1:
+                    raise self._fail("engine no longer has the run") from None
                 resume = False
                 continue
             except http.CALL_FAILURES as cause:
-                await self._doubt_link(cause, resume, before)
+                await self._check_resumable(cause, resume, before)
             except StreamCut:
                 if resume and self.offset == before:
                     break
@@ -146,12 +149,12 @@
                 self.heard = trio.current_time()
             self._record_resume()
             resume = True
-        raise self._fail("the stream ended before its end mark")
+        raise self._fail("stream ended before the end event")
 
-    async def _doubt_link(
+    async def _check_resumable(
         self, cause: Exception, resume: bool, before: int
     ) -> None:
-        """Decide whether to look for the run over a new connection."""
+        """Raise EndpointError unless the run may be resumed."""
         silent = isinstance(cause, httpcore.TimeoutException)
         name = type(cause).__name__
         unreachable = isinstance(
@@ -163,10 +166,10 @@
             raise self._fail(name) from cause
         if silent:
             await self.pools.drop_idle(self.endpoint.address)
-            quiet_ms = (trio.current_time() - self.heard) * 1000
+            silent_ms = (trio.current_time() - self.heard) * 1000
             if (
                 self.offset == before
-                and quiet_ms >= self.watch.silence_limits.engine_ms
+                and silent_ms >= self.watch.silence_limits.engine_ms
             ):
                 raise self._fail(name, silent) from cause
 
@@ -185,10 +188,10 @@
     async def _read_once(self, resume: bool) -> RunEnd:
         """Read over one connection.
 
-        The first start may use an idle connection; all later ones are made
-        anew, since the idle ones are in doubt.
+        Only the first start may use an idle connection from the pool. Later
+        requests open a new one, since the idle ones may be dead as well.
         """
-        if self.starts == 0:
+        if self.start_count == 0:
             pool = await self.pools.get(self.endpoint.address)
             return await self._exchange(pool, resume)
         async with connections.make_single_use_pool() as pool:
@@ -200,10 +203,14 @@
         mark = http.SentMark()
         path, content = f"{run_path(self.run)}?offset={self.offset}", None
         if not resume:
-            self.starts += 1
+            self.start_count += 1
             path, content = "/v1/runs", encode_run(self.run)
-        link_s = self.watch.silence_limits.connection_ms / 1000
-        timeouts = {"connect": CONNECT_S, "read": link_s, "write": link_s}
+        connection_s = self.watch.silence_limits.connection_ms / 1000
+        timeouts = {
+            "connect": CONNECT_TIMEOUT_S,
+            "read": connection_s,
+            "write": connection_s,
+        }
         try:
             async with pool.stream(
                 "GET" if resume else "POST",
@@ -212,30 +219,31 @@
                 content=content,
                 extensions={
                     "trace": mark.trace,
-                    "timeout": {**timeouts, "pool": CONNECT_S},
+                    "timeout": {**timeouts, "pool": CONNECT_TIMEOUT_S},
                 },
             ) as response:
                 if response.status != 200:
                     await response.aread()
-                    self._judge_status(response.status, resume)
+                    self._raise_for_status(response.status, resume)
                 return await self._read_body(response)
         finally:
             self.sent = self.sent or mark.sent
 
-    def _judge_status(self, status: int, resume: bool) -> None:
+    def _raise_for_status(self, status: int, resume: bool) -> None:
         if resume and status == 404:
             raise RunGone
-        # An engine that answers 503 to a start has not begun it.
-        sent = resume or self.starts > 1 or status != 503
+        # An engine that answers 503 to a start has not begun the run.
+        sent = resume or self.start_count > 1 or status != 503
         raise errors.EndpointError(
             self.endpoint.name, f"status {status}", sent=sent, status=status
         )
 
     async def _read_body(self, response: httpcore.Response) -> RunEnd:
-        """Read one response to the run's end mark.
+        """Read one response to the run's end event.
 
-        Text that has arrived and was not handed on when the connection
-        fails stays, and goes out with what a later connection brings.
+        Text that was received but not yet passed on when the connection
+        fails stays buffered and is passed on with the text that a later
+        connection brings.
         """
         stream = response.extensions["network_stream"]
         with trio.CancelScope() as scope:
@@ -243,7 +251,7 @@
             stream.reading = reading
             self.watch.readings.add(reading)
             try:
-                await self._relay(response, scope)
+                await self._process_events(response, scope)
             finally:
                 stream.reading = None
                 self.watch.readings.discard(reading)
@@ -251,7 +259,7 @@
             raise httpcore.ReadTimeout()
         return self.end
 
-    async def _relay(
+    async def _process_events(
         self, response: httpcore.Response, scope: trio.CancelScope
     ) -> None:
         async for event in read_events(response):
@@ -259,16 +267,16 @@
             if text is None:
                 if event.get("end"):
                     await self._flush()
-                    self.end = self._close(event)
-                    # The rest of the body keeps the connection in use for
-                    # the next run; an engine that is slow to end it is not
-                    # waited for.
-                    scope.deadline = trio.current_time() + DRAIN_S
+                    self.end = self._verify_end(event)
+                    # Reading the body to its end lets the connection be
+                    # reused for the next run. Wait only briefly for an
+                    # engine that is slow to end it.
+                    scope.deadline = trio.current_time() + BODY_END_TIMEOUT_S
             elif event["offset"] == self.offset:
                 self.offset += 1
                 self._parts.append(text)
-                self._pending += len(text)
-                if self._pending >= MAX_PENDING:
+                self._pending_chars += len(text)
+                if self._pending_chars >= MAX_PENDING_CHARS:
                     await self._flush()
             elif event["offset"] > self.offset:
                 raise StreamCut
@@ -276,23 +284,23 @@
             raise StreamCut
 
     async def _flush(self) -> None:
-        """Hand on what has arrived, in one piece."""
+        """Pass on the buffered text in one piece."""
         if not self._parts:
             return
         text = "".join(self._parts)
         self._parts.clear()
-        self._pending = 0
+        self._pending_chars = 0
         self._digest.update(replies.encode_text(text))
         self.length += len(text)
         await self.on_text(text)
 
-    def _close(self, event: dict) -> RunEnd:
-        """Check the whole answer against the engine's own count."""
+    def _verify_end(self, event: dict) -> RunEnd:
+        """Check the answer against the engine's length and digest."""
         digest = event.get("digest", self._digest.hexdigest())
         if event["length"] != self.length:
-            raise self._fail("the answer has not the length it should")
+            raise self._fail("answer length differs from the engine's")
         if digest != self._digest.hexdigest():
-            raise self._fail("the answer has not the digest it should")
+            raise self._fail("answer digest differs from the engine's")
         return RunEnd(
             length=event["length"],
             input_tokens=event["input_tokens"],
@@ -302,12 +310,12 @@
 
 
 def encode_run(run: Run) -> bytes:
-    """The body of a request to start a run."""
+    """The body of the request that starts a run."""
     return json.dumps({**attrs.asdict(run), "stream": True}).encode()
 
 
 def run_path(run: Run) -> str:
-    """Where an engine has a run."""
+    """The path of a run on its engine."""
     return f"/v1/runs/{urllib.parse.quote(run.run_id, safe='')}"
 
 
@@ -316,13 +324,13 @@
 ) -> typing.AsyncIterator[dict]:
     """Parse server-sent events whose data are JSON objects.
 
-    Raises StreamCut for bytes that are no such stream.
+    Raises StreamCut for an overlong line or invalid JSON.
     """
-    rest = b""
+    partial_line = b""
     assert isinstance(response.stream, typing.AsyncIterable)
     async for chunk in response.stream:
-        *lines, rest = (rest + chunk).split(b"\n")
-        if len(rest) > MAX_LINE_BYTES:
+        *lines, partial_line = (partial_line + chunk).split(b"\n")
+        if len(partial_line) > MAX_LINE_BYTES:
             raise StreamCut
         for line in lines:
             if line.startswith(b"data: {"):
--- a/tests/cover/test_dispatch_queues.py
+++ b/tests/cover/test_dispatch_queues.py
@@ -27,7 +27,7 @@
     links: dict = attrs.field(factory=dict)
 
 
-def make_lanes(*names, slots=1):
+def make_queues(*names, slots=1):
     board = blackboard.Blackboard(name="vm", failure_domain="a")
     for name in names:
         board.endpoints[name] = blackboard.Endpoint(
@@ -48,19 +48,19 @@
     return queues, queue
 
 
-def make_waiter(queues, patience_ms=2_000.0, **fields):
+def make_waiter(queues, wait_limit_ms=2_000.0, **fields):
     item = queueing.Item(
         customer="c",
         weight=1.0,
         work=100.0,
-        latest_start_ms=queues.clock.now_ms() + patience_ms,
+        latest_start_ms=queues.clock.now_ms() + wait_limit_ms,
     )
     return queues_module.Waiter(item=item, key=None, **fields)
 
 
-async def start_waiting(nursery, queues, queue, waiter, got, aside=False):
+async def start_waiting(nursery, queues, queue, waiter, got, is_retry=False):
     async def wait():
-        got.append((waiter, await queues.wait(queue, waiter, aside)))
+        got.append((waiter, await queues.wait(queue, waiter, is_retry)))
 
     nursery.start_soon(wait)
     await trio.testing.wait_all_tasks_blocked()
@@ -68,7 +68,7 @@
 
 def test_caller_that_leaves_the_queue_frees_its_place():
     async def main():
-        queues, queue = make_lanes("e1")
+        queues, queue = make_queues("e1")
         first, second = make_waiter(queues), make_waiter(queues)
         assert await queues.wait(queue, first, False)
         with trio.move_on_after(0.02):
@@ -82,7 +82,7 @@
 
 def test_slot_granted_as_its_caller_leaves_goes_to_the_next():
     async def main():
-        queues, queue = make_lanes("e1")
+        queues, queue = make_queues("e1")
         first, second, third = (make_waiter(queues) for _ in range(3))
         assert await queues.wait(queue, first, False)
         got: list = []
@@ -106,9 +106,9 @@
 
 def test_request_whose_time_runs_out_in_the_queue_is_let_go():
     async def main():
-        queues, queue = make_lanes("e1")
+        queues, queue = make_queues("e1")
         assert await queues.wait(queue, make_waiter(queues), False)
-        late = make_waiter(queues, patience_ms=20.0)
+        late = make_waiter(queues, wait_limit_ms=20.0)
         assert not await queues.wait(queue, late, False)
         assert queue.fair_queue.count == 0
 
@@ -117,7 +117,7 @@
 
 def test_retry_goes_before_the_queue():
     async def main():
-        queues, queue = make_lanes("e1")
+        queues, queue = make_queues("e1")
         first, queued, again = (make_waiter(queues) for _ in range(3))
         assert await queues.wait(queue, first, False)
         got: list = []
@@ -134,7 +134,7 @@
 
 def test_convicted_request_in_the_queue_is_let_go_at_once():
     async def main():
-        queues, queue = make_lanes("e1")
+        queues, queue = make_queues("e1")
         assert await queues.wait(queue, make_waiter(queues), False)
         waiter = make_waiter(queues, fingerprint="f")
         got: list = []
@@ -142,7 +142,7 @@
             await start_waiting(nursery, queues, queue, waiter, got)
             queues.suspects.record_crash("f", "e8", "r")
             queues.suspects.record_crash("f", "e9", "r")
-            queues.pump_all()
+            queues.dispatch_all()
             with trio.fail_after(1):
                 while not got:
                     await trio.sleep(0)
@@ -153,7 +153,7 @@
 
 def test_leaving_endpoint_gets_no_queued_request():
     async def main():
-        queues, queue = make_lanes("e1", "e2", slots=8)
+        queues, queue = make_queues("e1", "e2", slots=8)
         board = queues.fleet.board
         gone = attrs.evolve(board.endpoints["e1"], leaving=True)
         board.endpoints["e1"] = gone
@@ -243,7 +243,7 @@
             await on_text("first")
             return END
 
-        def make_second():
+        def make_hedge():
             asked.set()
             return make_runner([0.0], [], "second")
 
@@ -253,6 +253,6 @@
         with trio.fail_after(5):
             for _ in range(50):
                 asked = trio.Event()
-                await hedging.HedgedRun(take).run(first, 1.0, make_second)
+                await hedging.HedgedRun(take).run(first, 1.0, make_hedge)
 
     trio.run(main)
--- a/tests/cover/test_gateway_hedging.py
+++ b/tests/cover/test_gateway_hedging.py
@@ -34,13 +34,13 @@
             await on_text("b")
             return END
 
-        def make_second() -> hedging.Runner:
+        def make_hedge() -> hedging.Runner:
             go.set()
             return second
 
         with trio.fail_after(5):
             race = hedging.HedgedRun(collect)
-            await race.run(first, 1.0, make_second)
+            await race.run(first, 1.0, make_hedge)
         assert len(got) == 1
 
     # Which of the two tasks runs first is left to chance by trio.
