--- a/src/carawayward/gateway/endpoints.py
+++ b/src/carawayward/gateway/endpoints.py
@@ -31,10 +31,7 @@
 
 @attrs.frozen(kw_only=True)
 class Report:
-    """An endpoint's report of its own state.
-
-    ``load`` is already out of date when it is read.
-    """
+    """An endpoint's report of its state; ``load`` lags behind."""
 
     versions: list[str]
     load: float
--- a/tests/common/streaming.py
+++ b/tests/common/streaming.py
@@ -1,4 +1,4 @@
-"""A caller that reads streamed answers as they come."""
+"""A test client that reads streamed answers as they arrive."""
 
 import contextlib
 import json
@@ -20,7 +20,7 @@
 def make_plan(
     entry_vms: int = 1, engines: int = 2, **settings: dict
 ) -> deployment.Plan:
-    """A small deployment whose engines can be made to fail."""
+    """Plan a small deployment whose engines can be made to fail."""
     return attrs.evolve(
         deployment.ODUYA,
         quiet=True,
@@ -39,19 +39,19 @@
 
 
 def make_body(text: str, stream: bool = True) -> dict:
-    """A request that the strong model answers directly."""
+    """Make a request that the strong model answers directly."""
     messages = [{"role": "user", "content": text}]
     return {"model": TASK, "messages": messages, "stream": stream}
 
 
 def make_expected(text: str, tokens: int = 24) -> str:
-    """The whole answer to ``make_body(text)``."""
+    """Make the complete answer expected for ``make_body(text)``."""
     return engine.make_answer(VERSION, make_body(text)["messages"], tokens)
 
 
 @attrs.define
 class Answer:
-    """What a caller got of a streamed answer."""
+    """The parts of a streamed answer that the caller received."""
 
     status: int
     headers: dict[str, str]
@@ -65,7 +65,7 @@
 def open_stream(
     address: str, text: str, timeout_s: float = 20.0
 ) -> typing.Iterator[httpcore.Response]:
-    """Send a streamed request over a connection of its own."""
+    """Send a streamed request over a new connection."""
     timeouts = dict.fromkeys(("connect", "read", "write", "pool"), timeout_s)
     with httpcore.ConnectionPool() as pool:
         with pool.stream(
@@ -92,12 +92,12 @@
             *lines, rest = (rest + chunk).split(b"\n")
             for line in lines:
                 if line.startswith(b"data: {"):
-                    take_event(answer, json.loads(line[6:]))
+                    record_event(answer, json.loads(line[6:]))
     return answer
 
 
-def take_event(answer: Answer, event: dict) -> None:
-    """Note one event of a stream."""
+def record_event(answer: Answer, event: dict) -> None:
+    """Add one event of a stream to the answer."""
     if "error" in event:
         answer.error = event["error"]
     elif "carawayward" in event:
@@ -114,7 +114,7 @@
 
 
 def count_states(running: deployment.Deployment, state: str) -> int:
-    """How many runs stand in a state, over all engines."""
+    """Count the runs in a given state over all engines."""
     return sum(
         run["state"] == state
         for name in running.pools["matchers"]
@@ -127,7 +127,7 @@
 def wait_for(
     condition: typing.Callable[[], bool], timeout_s: float = 10.0
 ) -> bool:
-    """Wait until a condition holds; say whether it came to hold."""
+    """Wait until a condition holds; return whether it did in time."""
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
         if condition():
--- a/tests/cover/test_dispatch_queues.py
+++ b/tests/cover/test_dispatch_queues.py
@@ -1,4 +1,4 @@
-"""Queued requests and hedged runs, without sockets."""
+"""Dispatch queues and hedged runs, without sockets."""
 
 import attrs
 import trio
@@ -37,11 +37,11 @@
             address="127.0.0.1:1",
             versions=frozenset({"v"}),
         )
-    clocks = clock.Clock()
+    real_clock = clock.Clock()
     links: hub.PeerHub = NoLinks()  # type: ignore[assignment]
-    suspects = suspects_module.SuspectsController(board, clocks, links)
+    suspects = suspects_module.SuspectsController(board, real_clock, links)
     fleet = fleet_module.Fleet(board)
-    queues = queues_module.DispatchQueues(clocks, fleet, "a", suspects)
+    queues = queues_module.DispatchQueues(real_clock, fleet, "a", suspects)
     queue = queues.find("v", lambda endpoint: "v" in endpoint.versions)
     for view in fleet.views.values():
         view.limit.value = float(slots)
@@ -104,7 +104,7 @@
     trio.run(main)
 
 
-def test_request_whose_time_runs_out_in_the_queue_is_let_go():
+def test_request_leaves_the_queue_when_its_time_runs_out():
     async def main():
         queues, queue = make_queues("e1")
         assert await queues.wait(queue, make_waiter(queues), False)
@@ -118,21 +118,21 @@
 def test_retry_goes_before_the_queue():
     async def main():
         queues, queue = make_queues("e1")
-        first, queued, again = (make_waiter(queues) for _ in range(3))
+        first, queued, retried = (make_waiter(queues) for _ in range(3))
         assert await queues.wait(queue, first, False)
         got: list = []
         async with trio.open_nursery() as nursery:
             await start_waiting(nursery, queues, queue, queued, got)
-            await start_waiting(nursery, queues, queue, again, got, True)
+            await start_waiting(nursery, queues, queue, retried, got, True)
             queues.release(first.view)
             await trio.testing.wait_all_tasks_blocked()
-            assert [waiter for waiter, _ in got] == [again]
-            queues.release(again.view)
+            assert [waiter for waiter, _ in got] == [retried]
+            queues.release(retried.view)
 
     trio.run(main)
 
 
-def test_convicted_request_in_the_queue_is_let_go_at_once():
+def test_convicted_request_leaves_the_queue_at_once():
     async def main():
         queues, queue = make_queues("e1")
         assert await queues.wait(queue, make_waiter(queues), False)
@@ -182,44 +182,44 @@
     return run
 
 
-def race(first, second, delay_ms):
+def run_hedged(first, second, delay_ms):
     texts = []
 
     async def main():
         async def take(text):
             texts.append(text)
 
-        runner = hedging.HedgedRun(take)
-        return await runner.run(first, delay_ms, lambda: second)
+        hedged_run = hedging.HedgedRun(take)
+        return await hedged_run.run(first, delay_ms, lambda: second)
 
     return trio.run(main), texts
 
 
-def test_silent_run_is_overtaken_and_cancelled():
+def test_silent_run_is_replaced_by_its_hedge_and_cancelled():
     log: list[str] = []
     slow = make_runner([5.0], log, "slow")
     quick = make_runner([0.0, 0.0], log, "quick")
-    (index, _), texts = race(slow, quick, 20.0)
+    (index, _), texts = run_hedged(slow, quick, 20.0)
     assert index == 1
     assert texts == ["quick", "quick"]
     assert log == ["slow cancelled"]
 
 
-def test_run_that_has_given_text_is_not_run_twice():
+def test_run_that_has_given_text_is_not_hedged():
     log: list[str] = []
     steady = make_runner([0.0, 0.05], log, "steady")
-    (index, _), texts = race(steady, make_runner([0.0], log, "no"), 20.0)
+    (index, _), texts = run_hedged(steady, make_runner([0.0], log, "no"), 20.0)
     assert index == 0
     assert texts == ["steady", "steady"]
     assert log == []
 
 
-def test_fault_of_the_kept_run_is_told_though_another_was_begun():
+def test_failure_of_the_kept_run_is_raised_despite_another_run():
     log: list[str] = []
     slow = make_runner([5.0], log, "slow")
     broken = make_runner([0.0], log, "broken", fails=True)
     try:
-        race(slow, broken, 20.0)
+        run_hedged(slow, broken, 20.0)
     except errors.EndpointError as fault:
         assert fault.endpoint == "broken"
         assert fault.sent
@@ -227,12 +227,12 @@
         raise AssertionError("the fault was lost")
 
 
-def test_text_in_the_moment_of_the_hedge_leaves_no_run_behind():
-    """A suggestion whose whole answer was there stays open for 20 s.
+def test_text_while_the_hedge_starts_leaves_no_run_behind():
+    """A second run that starts late must not keep the request open.
 
-    The first run gives text just as the second is asked for. The second
-    began after the others had been cancelled, and waited for ever for its
-    own cancellation.
+    The first run gives text while the second is being created. The second
+    run started after the other runs had been cancelled and waited forever
+    for its own cancellation, so a complete answer stayed open for 20 s.
     """
 
     async def main():
--- a/tests/cover/test_gateway_hedging.py
+++ b/tests/cover/test_gateway_hedging.py
@@ -1,4 +1,4 @@
-"""A request that is run twice ends as soon as one run has ended."""
+"""A hedged request ends as soon as one of its runs has ended."""
 
 import trio
 
@@ -11,22 +11,23 @@
 
 
 def test_second_run_that_begins_as_the_first_gives_text_is_cancelled():
-    """A member's whole answer is there, and its end comes 40 s later.
+    """A second run must not keep a request open that has been answered.
 
-    The first run gives text between the moment at which a second one is
-    begun and that at which its task first runs. Cause: whoever wins cancels
-    the runs that it knows of, and it does not know of that one yet.
+    The first run gives text after the second was created and before its
+    task begins. The winner cancels only runs that have registered, so the
+    second run must check on its start whether another has already won.
+    Without that check a complete answer ended only 40 s later.
     """
 
     async def run() -> None:
-        go = trio.Event()
+        hedge_requested = trio.Event()
         got: list[str] = []
 
         async def collect(text: str) -> None:
             got.append(text)
 
         async def first(on_text: hedging.OnText) -> endpoints.RunEnd:
-            await go.wait()
+            await hedge_requested.wait()
             await on_text("a")
             return END
 
@@ -35,14 +36,14 @@
             return END
 
         def make_hedge() -> hedging.Runner:
-            go.set()
+            hedge_requested.set()
             return second
 
         with trio.fail_after(5):
-            race = hedging.HedgedRun(collect)
-            await race.run(first, 1.0, make_hedge)
+            hedged_run = hedging.HedgedRun(collect)
+            await hedged_run.run(first, 1.0, make_hedge)
         assert len(got) == 1
 
-    # Which of the two tasks runs first is left to chance by trio.
+    # trio runs the two tasks in random order; repeat to cover both orders.
     for _ in range(30):
         trio.run(run)
--- a/tests/cover/test_planning.py
+++ b/tests/cover/test_planning.py
@@ -1,4 +1,4 @@
-"""What a request is planned from, on one entry VM."""
+"""Planning of requests from the state of one entry VM."""
 
 from bench import quality_cost
 from carawayward import clock as clock_module
@@ -7,10 +7,12 @@
 from carawayward import quality
 
 
-def test_declared_plan_stands_again_when_the_ratings_service_is_silent():
-    """Cheap alone was proven; then nobody rates any more.
+def test_declared_plan_is_used_again_when_ratings_are_silent():
+    """Learned plans must not outlive the ratings they rest on.
 
-    What was learned grows old unseen, so the operator's plan is taken.
+    Ratings proved that the cheap version alone is enough. Once the ratings
+    service is silent that evidence goes stale, so the operator's declared
+    plan is used.
     """
     mix = quality_cost.MIXES[0]
     rig = quality_cost.make_cost_rig(mix, clock_module.ManualClock())
@@ -29,12 +31,17 @@
     declared = choose(board, customer, task, "r1", {}, 1e9).steps
     assert [step.version for step in declared] == ["cheap", "strong"]
     board.quality.usual_ms = {"cheap": 400.0, "strong": 900.0}
-    hurried = choose(board, customer, task, "r1", {}, 1_200.0).steps
-    assert [step.version for step in hurried] == ["strong"]
+    under_short_deadline = choose(
+        board, customer, task, "r1", {}, 1_200.0
+    ).steps
+    assert [step.version for step in under_short_deadline] == ["strong"]
 
 
 def test_answers_that_wait_for_ratings_are_bounded_in_memory():
-    """The ratings service is down while long conversations are sampled."""
+    """Sampled answers queue up while the ratings service is down.
+
+    Long conversations are large, so the queue's size must be bounded.
+    """
     part = quality.QualityPart()
     for number in range(100):
         part.put(
--- a/tests/failures/test_load_queue.py
+++ b/tests/failures/test_load_queue.py
@@ -1,4 +1,4 @@
-"""More work than the engines can do, as processes."""
+"""Overload of engines, tested with real processes."""
 
 import concurrent.futures
 
@@ -39,9 +39,9 @@
 def test_burst_is_answered_or_refused_truthfully_and_small_ones_get_in():
     """A large customer sends many times what one engine can do in time.
 
-    Those that cannot be answered must be told so at once, with when to come
-    back, rather than time out; none that is told "not run" may have run. A
-    small customer that calls in the middle of it must not notice.
+    Requests that cannot be answered must be refused at once, with a time to
+    retry, rather than time out, and none that is refused as "not run" may
+    have run. A small customer's request during the burst must succeed.
     """
     with deployment.Deployment(TIGHT) as running:
         vm = running.entry_vms[0]
@@ -68,11 +68,11 @@
         assert ran == len(answered) + 1
 
 
-def test_run_that_broke_off_everywhere_is_not_called_not_run():
-    """Every engine breaks off a suggestion before its first word.
+def test_run_that_failed_on_every_engine_is_not_reported_as_not_run():
+    """A request that engines have worked on must not be called "not run".
 
-    Nothing reached the caller, yet the engines worked on it: told "not
-    run", the caller would conclude that nothing had happened.
+    Every engine breaks off the run before its first token. Nothing reaches
+    the caller, but the engines have started on the request.
     """
     with deployment.Deployment(streaming.make_plan()) as running:
         for name in running.pools["matchers"]:
@@ -84,8 +84,8 @@
         assert sum(map(len, runs)) >= 2
 
 
-def test_pool_that_has_run_out_refuses_at_once_and_is_used_again():
-    """The only engine stops, and callers are told so until it is back."""
+def test_pool_without_endpoints_refuses_at_once_and_recovers():
+    """The only engine stops; requests are refused until it is back."""
     with deployment.Deployment(TIGHT) as running:
         vm = running.entry_vms[0]
         assert ask(vm, "before").status == 200
--- a/tests/failures/test_load_suspects.py
+++ b/tests/failures/test_load_suspects.py
@@ -1,4 +1,7 @@
-"""Requests that crash endpoints, and endpoints that hang, as processes."""
+"""Requests that crash endpoints, and endpoints that hang.
+
+Tested with real processes.
+"""
 
 import concurrent.futures
 import time
@@ -44,13 +47,13 @@
     ]
 
 
-def arm(running):
+def enable_crashes(running):
     for name in running.pools["matchers"]:
         running.switch(name, crash_mark=MARK)
 
 
 def wait_until_convicted(vm, text):
-    """Facts reach peers within milliseconds; this waits seconds at most."""
+    """Wait up to 10 s for a conviction, which takes ms to reach peers."""
     deadline = time.monotonic() + 10
     while time.monotonic() < deadline:
         reply = ask(vm, text)
@@ -60,15 +63,15 @@
     raise AssertionError(f"{vm.name} does not know the conviction")
 
 
-def test_crashing_request_sent_through_every_entry_vm_kills_two_at_most():
-    """A caller's suggestion fails, and it sends it again and again.
+def test_crashing_request_resent_to_every_entry_vm_crashes_at_most_two():
+    """A caller resends a request that crashes every engine that runs it.
 
-    Each time the balancer picks another entry VM. The request crashes every
-    engine that runs it; unless entry VMs tell each other, every resend
-    takes one more, until no member gets any suggestion.
+    The load balancer passes each resend to another entry VM. Unless entry
+    VMs share what they know of crashes, each resend crashes one more
+    engine until none is left.
     """
     with deployment.Deployment(SMALL) as running:
-        arm(running)
+        enable_crashes(running)
         text = f"match {MARK}"
         first = ask(running.entry_vms[0], text, key="the-first")
         assert first.status == 504
@@ -84,15 +87,15 @@
             assert ask(vm, "match something else").status == 200
 
 
-def test_crashing_request_sent_at_once_through_every_entry_vm_kills_two():
-    """An impatient application sends the same request four times at once.
+def test_crashing_request_sent_to_all_entry_vms_at_once_crashes_two():
+    """The same crashing request arrives at all four entry VMs at once.
 
-    All four entry VMs run it before any has seen it crash an engine. Each
-    would try it again on an engine of its own choice; the ring sends the
-    first runs to one engine and the trials to another.
+    All of them run it before any has seen it crash an engine. If each chose
+    the engines by itself, each would crash others; the hash ring sends all
+    first runs to one engine and all trial runs to another.
     """
     with deployment.Deployment(SMALL) as running:
-        arm(running)
+        enable_crashes(running)
         with concurrent.futures.ThreadPoolExecutor(4) as pool:
             replies = list(
                 pool.map(
@@ -105,37 +108,36 @@
             assert wait_until_convicted(vm, f"match {MARK}").status == 422
 
 
-def test_innocent_requests_of_a_crashed_engine_are_answered_and_cleared():
-    """Members' suggestions run on an engine that another request crashes.
+def test_other_requests_on_a_crashed_engine_are_answered_and_cleared():
+    """Harmless requests run on an engine that another request crashes.
 
-    Their connections break together with the guilty one's. They are tried
-    again as suspects and answered; their callers see a late answer, and
-    sending the same words again works.
+    Their connections break together with that of the crashing request. They
+    are retried as suspects and answered late, and sending the same messages
+    again works.
     """
     with deployment.Deployment(SMALL) as running:
-        arm(running)
+        enable_crashes(running)
         texts = [f"match {number}" for number in range(60)]
         vms = running.entry_vms
         with concurrent.futures.ThreadPoolExecutor(61) as pool:
-            innocent = [
+            others = [
                 pool.submit(ask, vms[i % 4], text)
                 for i, text in enumerate(texts)
             ]
-            guilty = pool.submit(ask, vms[0], f"match {MARK}")
-            replies = [future.result() for future in innocent]
-        assert guilty.result().status != 200
+            crashing = pool.submit(ask, vms[0], f"match {MARK}")
+            replies = [future.result() for future in others]
+        assert crashing.result().status != 200
         bad = [reply.json() for reply in replies if reply.status != 200]
         assert bad == []
         assert len(list_crashed(running)) <= 2
         assert ask(vms[1], texts[0]).status == 200
 
 
-def test_one_hung_engine_delays_few_and_fails_none():
-    """One engine of six takes requests and never answers.
+def test_one_hung_engine_delays_few_requests_and_fails_none():
+    """One engine of six accepts requests and never answers.
 
-    Callers whose request it got would wait for the silence limit of many
-    seconds; a second run elsewhere answers them, and the engine is left
-    out soon.
+    Its requests would wait for the silence limit of many seconds. Hedged
+    runs on other engines answer them, and the hung engine is soon ejected.
     """
     with deployment.Deployment(SMALL) as running:
         vm = running.entry_vms[0]
--- a/tests/failures/test_path_silence.py
+++ b/tests/failures/test_path_silence.py
@@ -1,4 +1,4 @@
-"""Connections that go silent for good are noticed on every kind of link."""
+"""Connections that go silent for good are detected everywhere."""
 
 import socket
 import typing
@@ -27,13 +27,13 @@
 
 
 class Service:
-    """Answers whatever it is asked, and counts it."""
+    """Answers every request and counts the requests."""
 
     def __init__(self) -> None:
         self.calls = 0
 
     async def answer(self, request: requests.Request) -> responses.Response:
-        """Answer after a moment."""
+        """Answer after 20 ms; never answer on the topic ``mute``."""
         self.calls += 1
         if request.url.path == "/streams/mute/records":
             await trio.sleep_forever()
@@ -41,10 +41,10 @@
         return responses.JSONResponse({"calls": self.calls})
 
 
-def run_behind_wire(
+def run_over_wire(
     scenario: typing.Callable[[Service, peering.Wire], typing.Awaitable[None]],
 ) -> None:
-    """Run a scenario against a service that is reached over a wire."""
+    """Run a scenario against a service behind a proxy that can go silent."""
 
     async def run() -> None:
         service = Service()
@@ -76,52 +76,55 @@
     trio.run(run)
 
 
-def check_second_call(operation: str, repeatable: bool) -> None:
-    """A second call reaches the desk though its connection went silent."""
+def check_call_after_silence(operation: str, repeatable: bool) -> None:
+    """Check that a call arrives although the idle connection is silent."""
 
     async def scenario(service: Service, wire: peering.Wire) -> None:
         client = endpoints.EndpointClient(SILENCE_LIMITS, 10_000)
-        desk = blackboard.Endpoint(
+        service_endpoint = blackboard.Endpoint(
             name="desk",
             pool="desk",
             failure_domain="ikeja",
             address=f"127.0.0.1:{wire.port}",
         )
-        await client.call_service(desk, "look-up", {}, True)
+        await client.call_service(service_endpoint, "look-up", {}, True)
         wire.silence()
         with trio.fail_after(5):
-            await client.call_service(desk, operation, {}, repeatable)
+            await client.call_service(
+                service_endpoint, operation, {}, repeatable
+            )
         assert service.calls == 2
         await client.close()
 
-    run_behind_wire(scenario)
+    run_over_wire(scenario)
 
 
 def test_repeatable_call_does_not_wait_out_a_silent_idle_connection():
-    """A parcel look-up takes ten seconds, then says it does not know.
+    """A repeatable call is sent again soon if its connection is dead.
 
-    It goes out on an idle connection that has gone silent; the desk never
-    sees it. Cause: the connection is dead, the desk is not, and the call
-    may be sent again.
+    The call goes out on an idle connection that has gone silent, so the
+    service never receives it. Waiting for the whole service timeout of 10 s
+    would end in an unknown outcome although the service is healthy.
     """
-    check_second_call("look-up", repeatable=True)
+    check_call_after_silence("look-up", repeatable=True)
 
 
 def test_call_that_may_not_be_repeated_uses_no_idle_connection():
-    """A swap log is answered "unknown" though the desk is well.
+    """A call that may run only once is sent over a new connection.
 
-    All idle connections to the desk have gone silent. Cause: what may run
-    once only can't be sent again, so it must not go out on a connection
-    that may be dead.
+    All idle connections to the service have gone silent. Such a call can't
+    be sent again, so on a dead connection its outcome would be unknown
+    although the service is healthy.
     """
-    check_second_call("log-swap", repeatable=False)
+    check_call_after_silence("log-swap", repeatable=False)
 
 
-def test_platform_client_makes_new_connections_after_one_went_silent():
-    """The platform is back, and an entry VM goes on calling it down.
+def test_platform_client_opens_new_connections_after_one_went_silent():
+    """One failed call is enough to discard all dead connections.
 
-    Four idle connections have gone silent together. Cause: each call that
-    fails frees itself of one dead connection only to pick the next.
+    Four idle connections have gone silent together. If each failed call
+    discarded only its own connection, the next would pick another dead one
+    and the platform would appear down although it is back.
     """
 
     async def scenario(service: Service, wire: peering.Wire) -> None:
@@ -139,14 +142,15 @@
         assert failures == 1
         await client.close()
 
-    run_behind_wire(scenario)
+    run_over_wire(scenario)
 
 
-def test_long_poll_that_never_returns_ends_in_a_typed_error():
-    """A withdrawn version goes on running at one entry VM all day.
+def test_long_poll_on_a_silent_connection_raises_platform_unavailable():
+    """A long poll on a dead connection must fail within a bounded time.
 
-    Its long poll for configurations hangs in a silent connection. Cause: a
-    poll that waits for something to happen looks like one that is dead.
+    A poll that waits for news looks the same as one whose connection is
+    dead. If it hung for good, an entry VM would get no new configurations
+    and keep running a version that has been withdrawn.
     """
 
     async def scenario(service: Service, wire: peering.Wire) -> None:
@@ -158,14 +162,15 @@
                 return
         raise AssertionError("answered")
 
-    run_behind_wire(scenario)
+    run_over_wire(scenario)
 
 
-def test_caller_that_takes_no_data_frees_the_engine_within_a_bound():
-    """Engines fill up with answers to phones that have left the network.
+def test_caller_that_reads_nothing_frees_the_engine_in_bounded_time():
+    """A caller that stops reading must not occupy an engine for good.
 
-    A caller's connection stands, and nothing that is sent on it is taken.
-    Cause: nobody tells the sender, and a write waits for ever.
+    The caller's connection stays open but accepts no data, as with a phone
+    that has left the network. The sender gets no error, and without a time
+    limit its write would wait forever.
     """
     limits = {"caller_silence_ms": 1_500}
     plan = streaming.make_plan(limits=limits)
@@ -184,11 +189,12 @@
             assert next(pieces)
 
 
-def test_listeners_probe_callers_that_send_and_take_nothing():
-    """Connections of vanished callers pile up until none is left.
+def test_listeners_use_keepalive_probes_for_silent_callers():
+    """Connections of callers that vanished must be closed.
 
-    The caller's side is gone without a word while an answer is awaited.
-    Cause: nothing is sent, so that nothing can fail.
+    The caller disappears without closing its connection while it waits for
+    an answer. Nothing is being sent, so only keep-alive probes can detect
+    it; without them dead connections accumulate until none are available.
     """
     (port,) = loopback.find_free_ports(1)
     config = listening.make_config(
--- a/tests/failures/test_path_streams.py
+++ b/tests/failures/test_path_streams.py
@@ -1,4 +1,4 @@
-"""Streamed answers come whole or say that they are not."""
+"""Streamed answers are complete, or end with an error."""
 
 import socket
 import threading
@@ -10,27 +10,27 @@
 
 
 def start(entry_vms: int = 1) -> deployment.Deployment:
-    """A small deployment that notices silence soon."""
+    """Create a small deployment with short silence limits."""
     return deployment.Deployment(streaming.make_plan(entry_vms, limits=LIMITS))
 
 
 def switch_engines(running: deployment.Deployment, **faults: object) -> None:
-    """Switch faults of all engines."""
+    """Switch faults on all engines."""
     for name in running.pools["matchers"]:
         running.switch(name, **faults)
 
 
 def count_runs(running: deployment.Deployment) -> int:
-    """How many runs all engines have begun."""
+    """Count the runs that all engines have begun."""
     return sum(len(running.runs_of(n)) for n in running.pools["matchers"])
 
 
-def test_broken_stream_is_read_on_from_the_same_run():
-    """A member sees a hard match stop halfway.
+def test_broken_stream_is_resumed_from_the_same_run():
+    """A broken engine connection must not cut off an answer.
 
     The connection between entry VM and engine breaks after 9 tokens; the
-    engine still has the run. Cause: a connection is not the run, and a
-    caller who got a part can be given only the rest of that same run.
+    engine still has the run. A caller that has received a part can be given
+    only the rest of the same run, so reading it must resume.
     """
     with start() as running:
         switch_engines(running, break_after=9, break_times=1)
@@ -41,11 +41,11 @@
         assert count_runs(running) == 1
 
 
-def test_stream_on_silent_connection_is_read_on_over_a_new_one():
-    """A member's answer stops and nothing ever says why.
+def test_stream_on_silent_connection_is_resumed_over_a_new_one():
+    """A silent engine connection must not stall an answer.
 
-    After 6 tokens the engine's connection goes silent while new ones work.
-    Cause: something between the two ends lost track of the connection.
+    After 6 tokens the engine's connection goes silent while new ones work,
+    as when a device between the two ends loses track of the connection.
     """
     with start() as running:
         switch_engines(running, silent_after=6, silent_times=1)
@@ -54,12 +54,14 @@
         assert count_runs(running) == 1
 
 
-def test_start_lost_on_a_silent_idle_connection_goes_out_anew():
-    """A member waits half a minute for an answer that takes a second.
+def test_start_lost_on_a_silent_idle_connection_is_sent_again():
+    """A start request on a dead idle connection is sent again soon.
 
-    The request goes out on an idle connection that has gone silent; the
-    engine never sees it. Cause: neither end knows that the connection is
-    dead, and a repeatable request must not wait out the whole silence.
+    The request goes out on an idle connection that has gone silent, so the
+    engine never receives it, and neither end knows that the connection is
+    dead. Unless the repeatable request is sent again before the engine
+    itself counts as silent, the answer comes after half a minute instead of
+    a second.
     """
     with start() as running:
         switch_engines(running, mute_posts=1)
@@ -68,12 +70,12 @@
         assert count_runs(running) == 1
 
 
-def test_lost_run_is_said_to_be_interrupted_once_text_has_reached_caller():
-    """A member gets half an answer that looks whole.
+def test_lost_run_is_reported_as_interrupted_once_text_was_delivered():
+    """Half an answer must not look complete.
 
-    The stream breaks and the engine has forgotten the run. Cause: another
-    run would give another text, so the rest of this one is gone; the
-    stream must end with an error and without an end marker.
+    The stream breaks and the engine has forgotten the run. Another run
+    would give a different text, so the rest of this one is lost; the stream
+    must end with an error and without an end marker.
     """
     with start() as running:
         switch_engines(running, break_after=5, forget=True)
@@ -84,11 +86,12 @@
         assert streaming.make_expected("lost").startswith(answer.text)
 
 
-def test_run_that_broke_before_any_text_starts_anew_elsewhere():
-    """A member is refused though another engine is idle.
+def test_run_that_failed_before_any_text_restarts_elsewhere():
+    """A run that is lost before its first token is started elsewhere.
 
-    One engine accepts a run and drops it before its first token. Cause:
-    nothing has reached the caller, so a repeatable request may start anew.
+    One engine accepts a run and drops it. Nothing has reached the caller,
+    so the repeatable request must be retried on the idle engine instead of
+    being refused.
     """
     with start() as running:
         running.switch("matchers-0", break_after=0, forget=True)
@@ -99,10 +102,11 @@
 
 
 def test_vanished_caller_frees_the_engine_streamed_or_not():
-    """Members give up, and everyone else's answers get slower.
+    """A caller that disconnects must have its run cancelled.
 
-    Callers close their connections during long answers. Cause: an engine
-    goes on with a run that nobody reads unless it is told to stop.
+    Callers close their connections during long answers. An engine continues
+    a run that nobody reads unless it is told to stop, which slows down the
+    answers of all other callers.
     """
     with start() as running:
         address = running.entry_vms[0].callers
@@ -126,11 +130,11 @@
 
 
 def test_slow_reader_slows_the_engine_down():
-    """An entry VM runs out of memory during a burst of long letters.
+    """Back pressure from a slow caller must reach the engine.
 
-    A caller opens a long stream and stops reading. Cause: text that is
-    read from the engine faster than the caller takes it has to be kept;
-    so it must not be read.
+    A caller opens a long stream and stops reading. Text that is read from
+    the engine faster than the caller accepts it has to be buffered, so a
+    burst of long answers would exhaust the entry VM's memory.
     """
     with start() as running:
         switch_engines(running, keep_ms=60_000)
@@ -138,22 +142,22 @@
         with streaming.open_stream(address, "slow tokens=400000") as response:
             pieces = response.iter_stream()
             next(pieces)
-            made = [0]
+            token_count = [0]
 
-            def stands_still() -> bool:
-                before, made[0] = made[0], count_made(running)
-                return before == made[0] > 0
+            def has_stalled() -> bool:
+                before, token_count[0] = token_count[0], count_tokens(running)
+                return before == token_count[0] > 0
 
             for name in running.pools["matchers"]:
                 running.switch(name, token_ms=0)
-            assert streaming.wait_for(stands_still, 30.0)
+            assert streaming.wait_for(has_stalled, 30.0)
             assert streaming.count_states(running, "running") == 1
-            assert made[0] < 400_000
+            assert token_count[0] < 400_000
             assert next(pieces)
 
 
-def count_made(running: deployment.Deployment) -> int:
-    """Tokens made by all engines' runs, with a pause before the count."""
+def count_tokens(running: deployment.Deployment) -> int:
+    """Count the tokens generated by all engines, after a pause of 1 s."""
     threading.Event().wait(1.0)
     return sum(
         run["made"]
