--- a/src/carawayward/gateway/fleet.py
+++ b/src/carawayward/gateway/fleet.py
@@ -57,7 +57,7 @@
             self.generation += 1
 
     def _adjust_initial_limits(self) -> None:
-        """Set limits not yet learned by the number of entry VMs.
+        """Fit limits that were not learned yet to the number of entry VMs.
 
         An entry VM that has just started knows of no others. If all kept
         the limit for a single entry VM, many that start at the same time
--- a/src/carawayward/gateway/planning.py
+++ b/src/carawayward/gateway/planning.py
@@ -115,8 +115,8 @@
 ) -> None:
     """Charge a roll-out's budget for answers before they are given."""
     accounts = board.quality.accounts.setdefault(trial.account, {})
-    own = accounts.get(board.incarnation, exposure.Spent())
-    accounts[board.incarnation] = exposure.spend(own, answers)
+    own_account = accounts.get(board.incarnation, exposure.Spent())
+    accounts[board.incarnation] = exposure.spend(own_account, answers)
 
 
 def choose_plan(
@@ -193,14 +193,14 @@
     """The ratings of a customer's cascade, with older ones decayed."""
     config = board.config
     assert config is not None
-    known = board.quality.evidence
+    ratings = board.quality.evidence
 
     def count(version: str, band: int, escalated: bool) -> evidence.Count:
         generation = board.quality.find_generation(version)
         key = evidence.Key(
             customer, task, version, band, escalated, generation
         )
-        return evidence.decay(known.totals.get(key, {}), known.newest)
+        return evidence.decay(ratings.totals.get(key, {}), ratings.newest)
 
     bands = range(evidence.BANDS)
     escalated_counts = [count(versions[1], band, True) for band in bands]
@@ -249,5 +249,5 @@
         if trial is None:
             continue
         accounts = board.quality.accounts.get(trial.account, {})
-        own = accounts.get(board.incarnation, exposure.Spent())
-        accounts[board.incarnation] = exposure.earn(own, 1)
+        own_account = accounts.get(board.incarnation, exposure.Spent())
+        accounts[board.incarnation] = exposure.earn(own_account, 1)
--- a/src/carawayward/gateway/streams.py
+++ b/src/carawayward/gateway/streams.py
@@ -137,7 +137,9 @@
                 # connection that had gone silent while idle. Start the run
                 # once more, on a new connection and under the same run id.
                 if self.offset or self.start_count > 1:
-                    raise self._fail("engine no longer has the run") from None
+                    raise self._make_error(
+                        "engine no longer has the run"
+                    ) from None
                 resume = False
                 continue
             except http.CALL_FAILURES as cause:
@@ -149,7 +151,7 @@
                 self.heard = trio.current_time()
             self._record_resume()
             resume = True
-        raise self._fail("stream ended before the end event")
+        raise self._make_error("stream ended before the end event")
 
     async def _check_resumable(
         self, cause: Exception, resume: bool, before: int
@@ -161,9 +163,9 @@
             cause, (httpcore.ConnectError, httpcore.ConnectTimeout)
         )
         if not self.sent or unreachable:
-            raise self._fail(name, silent) from cause
+            raise self._make_error(name, silent) from cause
         if not silent and resume and self.offset == before:
-            raise self._fail(name) from cause
+            raise self._make_error(name) from cause
         if silent:
             await self.pools.drop_idle(self.endpoint.address)
             silent_ms = (trio.current_time() - self.heard) * 1000
@@ -171,7 +173,7 @@
                 self.offset == before
                 and silent_ms >= self.watch.silence_limits.engine_ms
             ):
-                raise self._fail(name, silent) from cause
+                raise self._make_error(name, silent) from cause
 
     def _record_resume(self) -> None:
         events.log_event(
@@ -180,7 +182,9 @@
             offset=self.offset,
         )
 
-    def _fail(self, detail: str, silent: bool = False) -> errors.EndpointError:
+    def _make_error(
+        self, detail: str, silent: bool = False
+    ) -> errors.EndpointError:
         return errors.EndpointError(
             self.endpoint.name, detail, sent=self.sent, silent=silent
         )
@@ -298,9 +302,9 @@
         """Check the answer against the engine's length and digest."""
         digest = event.get("digest", self._digest.hexdigest())
         if event["length"] != self.length:
-            raise self._fail("answer length differs from the engine's")
+            raise self._make_error("answer length differs from the engine's")
         if digest != self._digest.hexdigest():
-            raise self._fail("answer digest differs from the engine's")
+            raise self._make_error("answer digest differs from the engine's")
         return RunEnd(
             length=event["length"],
             input_tokens=event["input_tokens"],
--- a/tests/cover/test_dispatch_queues.py
+++ b/tests/cover/test_dispatch_queues.py
@@ -58,9 +58,11 @@
     return queues_module.Waiter(item=item, key=None, **fields)
 
 
-async def start_waiting(nursery, queues, queue, waiter, got, is_retry=False):
+async def start_waiting(
+    nursery, queues, queue, waiter, results, is_retry=False
+):
     async def wait():
-        got.append((waiter, await queues.wait(queue, waiter, is_retry)))
+        results.append((waiter, await queues.wait(queue, waiter, is_retry)))
 
     nursery.start_soon(wait)
     await trio.testing.wait_all_tasks_blocked()
@@ -85,7 +87,7 @@
         queues, queue = make_queues("e1")
         first, second, third = (make_waiter(queues) for _ in range(3))
         assert await queues.wait(queue, first, False)
-        got: list = []
+        results: list = []
         async with trio.open_nursery() as nursery:
             scope = trio.CancelScope()
 
@@ -95,10 +97,10 @@
 
             nursery.start_soon(leave)
             await trio.testing.wait_all_tasks_blocked()
-            await start_waiting(nursery, queues, queue, third, got)
+            await start_waiting(nursery, queues, queue, third, results)
             scope.cancel()
             queues.release(first.view)
-        assert got == [(third, True)]
+        assert results == [(third, True)]
         assert queues.fleet.views["e1"].in_flight == 1
 
     trio.run(main)
@@ -120,13 +122,13 @@
         queues, queue = make_queues("e1")
         first, queued, retried = (make_waiter(queues) for _ in range(3))
         assert await queues.wait(queue, first, False)
-        got: list = []
+        results: list = []
         async with trio.open_nursery() as nursery:
-            await start_waiting(nursery, queues, queue, queued, got)
-            await start_waiting(nursery, queues, queue, retried, got, True)
+            await start_waiting(nursery, queues, queue, queued, results)
+            await start_waiting(nursery, queues, queue, retried, results, True)
             queues.release(first.view)
             await trio.testing.wait_all_tasks_blocked()
-            assert [waiter for waiter, _ in got] == [retried]
+            assert [waiter for waiter, _ in results] == [retried]
             queues.release(retried.view)
 
     trio.run(main)
@@ -137,16 +139,16 @@
         queues, queue = make_queues("e1")
         assert await queues.wait(queue, make_waiter(queues), False)
         waiter = make_waiter(queues, fingerprint="f")
-        got: list = []
+        results: list = []
         async with trio.open_nursery() as nursery:
-            await start_waiting(nursery, queues, queue, waiter, got)
+            await start_waiting(nursery, queues, queue, waiter, results)
             queues.suspects.record_crash("f", "e8", "r")
             queues.suspects.record_crash("f", "e9", "r")
             queues.dispatch_all()
             with trio.fail_after(1):
-                while not got:
+                while not results:
                     await trio.sleep(0)
-        assert got == [(waiter, False)]
+        assert results == [(waiter, False)]
 
     trio.run(main)
 
@@ -186,10 +188,10 @@
     texts = []
 
     async def main():
-        async def take(text):
+        async def collect(text):
             texts.append(text)
 
-        hedged_run = hedging.HedgedRun(take)
+        hedged_run = hedging.HedgedRun(collect)
         return await hedged_run.run(first, delay_ms, lambda: second)
 
     return trio.run(main), texts
@@ -247,12 +249,12 @@
             asked.set()
             return make_runner([0.0], [], "second")
 
-        async def take(text):
+        async def collect(text):
             assert text in ("first", "second")
 
         with trio.fail_after(5):
             for _ in range(50):
                 asked = trio.Event()
-                await hedging.HedgedRun(take).run(first, 1.0, make_hedge)
+                await hedging.HedgedRun(collect).run(first, 1.0, make_hedge)
 
     trio.run(main)
--- a/tests/cover/test_gateway_hedging.py
+++ b/tests/cover/test_gateway_hedging.py
@@ -21,10 +21,10 @@
 
     async def run() -> None:
         hedge_requested = trio.Event()
-        got: list[str] = []
+        texts: list[str] = []
 
         async def collect(text: str) -> None:
-            got.append(text)
+            texts.append(text)
 
         async def first(on_text: hedging.OnText) -> endpoints.RunEnd:
             await hedge_requested.wait()
@@ -42,7 +42,7 @@
         with trio.fail_after(5):
             hedged_run = hedging.HedgedRun(collect)
             await hedged_run.run(first, 1.0, make_hedge)
-        assert len(got) == 1
+        assert len(texts) == 1
 
     # trio runs the two tasks in random order; repeat to cover both orders.
     for _ in range(30):
--- a/tests/failures/test_load_queue.py
+++ b/tests/failures/test_load_queue.py
@@ -7,7 +7,7 @@
 from tests.common import deployment
 from tests.common import streaming
 
-TIGHT = attrs.evolve(
+SINGLE_ENGINE = attrs.evolve(
     deployment.ODUYA,
     quiet=True,
     entry_vms=1,
@@ -43,7 +43,7 @@
     retry, rather than time out, and none that is refused as "not run" may
     have run. A small customer's request during the burst must succeed.
     """
-    with deployment.Deployment(TIGHT) as running:
+    with deployment.Deployment(SINGLE_ENGINE) as running:
         vm = running.entry_vms[0]
         for number in range(6):
             assert ask(vm, f"warm {number}").status == 200
@@ -86,7 +86,7 @@
 
 def test_pool_without_endpoints_refuses_at_once_and_recovers():
     """The only engine stops; requests are refused until it is back."""
-    with deployment.Deployment(TIGHT) as running:
+    with deployment.Deployment(SINGLE_ENGINE) as running:
         vm = running.entry_vms[0]
         assert ask(vm, "before").status == 200
         running.processes["matchers-0"].kill()
@@ -94,7 +94,7 @@
         reply = ask(vm, "gone")
         assert reply.status == 503
         assert reply.json()["not_run"] is True
-        pool = TIGHT.pools[0]
+        pool = SINGLE_ENGINE.pools[0]
         running.start_standin(
             "matchers-0",
             "tests.standins.engine",
--- a/tests/failures/test_load_suspects.py
+++ b/tests/failures/test_load_suspects.py
@@ -10,7 +10,7 @@
 
 from tests.common import deployment
 
-MARK = "crash-me"
+CRASH_MARK = "crash-me"
 SMALL = attrs.evolve(
     deployment.ODUYA,
     quiet=True,
@@ -49,7 +49,7 @@
 
 def enable_crashes(running):
     for name in running.pools["matchers"]:
-        running.switch(name, crash_mark=MARK)
+        running.switch(name, crash_mark=CRASH_MARK)
 
 
 def wait_until_convicted(vm, text):
@@ -72,7 +72,7 @@
     """
     with deployment.Deployment(SMALL) as running:
         enable_crashes(running)
-        text = f"match {MARK}"
+        text = f"match {CRASH_MARK}"
         first = ask(running.entry_vms[0], text, key="the-first")
         assert first.status == 504
         assert first.json()["not_run"] is False
@@ -99,13 +99,16 @@
         with concurrent.futures.ThreadPoolExecutor(4) as pool:
             replies = list(
                 pool.map(
-                    lambda vm: ask(vm, f"match {MARK}"), running.entry_vms
+                    lambda vm: ask(vm, f"match {CRASH_MARK}"),
+                    running.entry_vms,
                 )
             )
         assert all(reply.status != 200 for reply in replies)
         assert len(list_crashed(running)) <= 2
         for vm in running.entry_vms:
-            assert wait_until_convicted(vm, f"match {MARK}").status == 422
+            assert (
+                wait_until_convicted(vm, f"match {CRASH_MARK}").status == 422
+            )
 
 
 def test_other_requests_on_a_crashed_engine_are_answered_and_cleared():
@@ -124,7 +127,7 @@
                 pool.submit(ask, vms[i % 4], text)
                 for i, text in enumerate(texts)
             ]
-            crashing = pool.submit(ask, vms[0], f"match {MARK}")
+            crashing = pool.submit(ask, vms[0], f"match {CRASH_MARK}")
             replies = [future.result() for future in others]
         assert crashing.result().status != 200
         bad = [reply.json() for reply in replies if reply.status != 200]
