--- a/src/carawayward/gateway/dispatch.py
+++ b/src/carawayward/gateway/dispatch.py
@@ -208,7 +208,7 @@
                 outcomes.Reason.DEADLINE,
                 "no endpoint was free in time; send it again with a later "
                 "deadline",
-                admission.expect_work(queue.times, step.customer.name),
+                admission.estimate_service_ms(queue.times, step.customer.name),
             )
         refusal = self._recheck(step)
         if refusal is not None:
@@ -219,11 +219,11 @@
 
     def _make_waiter(self, step: running.StepRun) -> queues_module.Waiter:
         times, customer = step.queue.times, step.customer.name
-        work = admission.expect_work(times, customer)
+        work = admission.estimate_service_ms(times, customer)
         latest_ms = admission.find_latest_start(
             times, customer, self.clock.now_ms(), step.deadline_ms
         )
-        item = queueing.Item(
+        item = queueing.WaitingRequest(
             customer=step.customer.name,
             weight=step.customer.weight,
             work=work,
@@ -240,7 +240,7 @@
     def _compute_queue_limit(self, customer: declaration.Customer) -> int:
         config = self.board.config
         customers = config.customers.values() if config else ()
-        return admission.share_places(
+        return admission.compute_queue_limit(
             self.limits.max_waiting,
             customer.weight,
             sum(other.weight for other in customers),
@@ -288,12 +288,12 @@
                 outcomes.Reason.CONVICTED,
                 "this request crashed two endpoints; change it, or ask "
                 "your operators to look at the engine",
-                suspicion.FACT_LIFE_MS,
+                suspicion.RECORD_TTL_MS,
             )
         return None
 
     def _still_serves(
-        self, step: running.StepRun, view: placement.View
+        self, step: running.StepRun, view: placement.EndpointView
     ) -> bool:
         """Whether the endpoint is staying and still serves the version."""
         endpoint = self.board.endpoints.get(view.name)
@@ -376,10 +376,10 @@
         wait_limit_ms = self.limits.service_timeout_ms
         if call.deadline_ms is not None:
             wait_limit_ms = min(wait_limit_ms, call.deadline_ms)
-        item = queueing.Item(
+        item = queueing.WaitingRequest(
             customer=customer.name,
             weight=customer.weight,
-            work=admission.expect_work(queue.times, customer.name),
+            work=admission.estimate_service_ms(queue.times, customer.name),
             latest_start_ms=self.clock.now_ms() + wait_limit_ms,
         )
         waiter = queues_module.Waiter(item=item, key=None, excluded=excluded)
--- a/src/carawayward/gateway/fleet.py
+++ b/src/carawayward/gateway/fleet.py
@@ -27,7 +27,7 @@
     """
 
     board: blackboard_module.Blackboard
-    views: dict[str, placement.View] = attrs.field(factory=dict)
+    views: dict[str, placement.EndpointView] = attrs.field(factory=dict)
     synced: dict[str, blackboard_module.Endpoint] = attrs.field(factory=dict)
     unreachable_since: dict[str, float] = attrs.field(factory=dict)
     generation: int = 0
@@ -68,7 +68,7 @@
             self.entry_vms = count
             for view in self.views.values():
                 if view.limit.base_ms is None:
-                    view.limit.value = limits.find_first(count)
+                    view.limit.value = limits.compute_initial_limit(count)
 
     def _update_view(
         self,
@@ -80,7 +80,7 @@
         name = endpoint.name
         self.synced[name] = endpoint
         if previous is None or previous.address != endpoint.address:
-            self.views[name] = placement.View(
+            self.views[name] = placement.EndpointView(
                 name=name, failure_domain=endpoint.failure_domain
             )
             limits.restart(self.views[name].limit, self.entry_vms)
@@ -113,7 +113,7 @@
             and name not in self.unreachable_since
         )
 
-    def record_unreachable(self, view: placement.View, now_ms: float) -> None:
+    def record_unreachable(self, view: placement.EndpointView, now_ms: float) -> None:
         """Exclude an endpoint that refuses connections until it reports.
 
         Unlike ejection, this may exclude a whole pool: nothing can be in
@@ -127,21 +127,21 @@
             self.unreachable_since[view.name] = now_ms
             self.generation += 1
 
-    def begin_request(self, view: placement.View) -> None:
+    def begin_request(self, view: placement.EndpointView) -> None:
         """Count a request as in flight."""
         view.in_flight += 1
         self.board.in_flight[view.name] = view.in_flight
         health.begin_probe(view.health)
 
-    def end_request(self, view: placement.View) -> None:
+    def end_request(self, view: placement.EndpointView) -> None:
         """Count a request as no longer in flight."""
         view.in_flight -= 1
         self.board.in_flight[view.name] = view.in_flight
 
-    def record_success(self, view: placement.View, unit_ms: float) -> None:
+    def record_success(self, view: placement.EndpointView, unit_ms: float) -> None:
         """Record the time per unit of work of a complete answer."""
-        limits.record_part(
-            view.limit, view.in_flight, view.others, self.entry_vms
+        limits.record_load_part(
+            view.limit, view.in_flight, view.other_load, self.entry_vms
         )
         limits.record_answer(view.limit, unit_ms, view.in_flight)
         if health.record_success(view.health, unit_ms):
@@ -150,7 +150,7 @@
 
     def record_failure(
         self,
-        view: placement.View,
+        view: placement.EndpointView,
         candidates: placement.Candidates,
         now_ms: float,
         overload: bool,
@@ -166,13 +166,13 @@
 
     def eject_if_outlier(
         self,
-        view: placement.View,
+        view: placement.EndpointView,
         candidates: placement.Candidates,
         now_ms: float,
     ) -> None:
         """Eject the endpoint if its health stands out from its pool's."""
         pool = [other.health for other in candidates.views]
-        if health.judge(view.health, pool, now_ms):
+        if health.eject_if_outlier(view.health, pool, now_ms):
             events.log_event(
                 events.Event.ENDPOINT_EJECTED,
                 endpoint=view.name,
--- a/src/carawayward/gateway/planning.py
+++ b/src/carawayward/gateway/planning.py
@@ -84,7 +84,7 @@
     needed = declared.session_answers if answers is None else answers
     if find_remaining_answers(board, trial) < needed:
         return declared.from_version
-    if not exposure.takes_canary(
+    if not exposure.is_assigned_to_canary(
         subject,
         declared.to_version,
         trial.share,
@@ -101,7 +101,7 @@
 ) -> float:
     """How many answers of a roll-out's new version may still be given here."""
     accounts = board.quality.accounts.get(trial.account, {})
-    return exposure.find_room(
+    return exposure.compute_remaining_budget(
         trial.budget,
         accounts,
         board.incarnation,
@@ -115,7 +115,7 @@
 ) -> None:
     """Charge a roll-out's budget for answers before they are given."""
     accounts = board.quality.accounts.setdefault(trial.account, {})
-    own_account = accounts.get(board.incarnation, exposure.Spent())
+    own_account = accounts.get(board.incarnation, exposure.ExposureAccount())
     accounts[board.incarnation] = exposure.spend(own_account, answers)
 
 
@@ -189,7 +189,7 @@
     customer: str,
     task: str,
     versions: tuple[str, str],
-) -> cascade.Parts:
+) -> cascade.CascadeRatings:
     """The ratings of a customer's cascade, with older ones decayed."""
     config = board.config
     assert config is not None
@@ -204,7 +204,7 @@
 
     bands = range(evidence.BANDS)
     escalated_counts = [count(versions[1], band, True) for band in bands]
-    return cascade.Parts(
+    return cascade.CascadeRatings(
         cheap=config.versions[versions[0]],
         strong=config.versions[versions[1]],
         bands=tuple(count(versions[0], band, False) for band in bands),
@@ -249,5 +249,5 @@
         if trial is None:
             continue
         accounts = board.quality.accounts.get(trial.account, {})
-        own_account = accounts.get(board.incarnation, exposure.Spent())
+        own_account = accounts.get(board.incarnation, exposure.ExposureAccount())
         accounts[board.incarnation] = exposure.earn(own_account, 1)
--- a/src/carawayward/gateway/queues.py
+++ b/src/carawayward/gateway/queues.py
@@ -32,12 +32,12 @@
     that is suspected of crashing endpoints.
     """
 
-    item: queueing.Item
+    item: queueing.WaitingRequest
     key: int | None
     fingerprint: str = ""
     excluded: frozenset[str] = frozenset()
     event: trio.Event = attrs.field(factory=trio.Event)
-    view: placement.View | None = None
+    view: placement.EndpointView | None = None
     suspect: bool = False
 
 
@@ -51,13 +51,13 @@
     serves: fleet_module.Serves
     fair_queue: queueing.FairQueue = attrs.field(factory=queueing.FairQueue)
     retry_waiters: list[Waiter] = attrs.field(factory=list)
-    times: admission.WorkTimes = attrs.field(factory=admission.WorkTimes)
-    promises: admission.Promises = attrs.field(factory=admission.Promises)
+    times: admission.ServiceTimes = attrs.field(factory=admission.ServiceTimes)
+    promises: admission.RetrySchedule = attrs.field(factory=admission.RetrySchedule)
     retry_budget: retry.Budget = attrs.field(factory=retry.Budget)
     hedge_budget: retry.Budget = attrs.field(
         factory=lambda: retry.Budget(retry.HEDGE_SHARE)
     )
-    first_text: retry.FirstText = attrs.field(factory=retry.FirstText)
+    first_text: retry.TtftEstimate = attrs.field(factory=retry.TtftEstimate)
     candidates: placement.Candidates = attrs.field(
         factory=lambda: placement.Candidates.from_views([])
     )
@@ -123,7 +123,7 @@
     ) -> admission.Refusal | None:
         """Return a refusal if the request cannot be served in time."""
         slots = sum(view.limit.value for view in queue.candidates.views)
-        return admission.decide(
+        return admission.check_admission(
             queue.fair_queue,
             waiter.item,
             self.clock.now_ms(),
@@ -163,7 +163,7 @@
         return waiter.view is not None
 
     def release(
-        self, view: placement.View, trial: Waiter | None = None
+        self, view: placement.EndpointView, trial: Waiter | None = None
     ) -> None:
         """Free a slot, end its trial if any, and dispatch all queues."""
         if trial is not None and trial.suspect:
@@ -196,7 +196,7 @@
 
     def _place(
         self, queue: DispatchQueue, waiter: Waiter
-    ) -> placement.View | None:
+    ) -> placement.EndpointView | None:
         suspect, trial = False, None
         if waiter.fingerprint:
             if self.suspects.is_convicted(waiter.fingerprint):
@@ -208,7 +208,7 @@
                 waiter.fingerprint, queue.candidates
             )
         now_ms = self.clock.now_ms()
-        view: placement.View | None = None
+        view: placement.EndpointView | None = None
         if not suspect:
             view = placement.choose(
                 queue.candidates,
--- a/src/carawayward/gateway/running.py
+++ b/src/carawayward/gateway/running.py
@@ -118,7 +118,7 @@
         self.chunks += 1
         if self.chunks == 1:
             first_ms = now_ms - self.began_ms
-            retry.record_first_text(self.queue.first_text, first_ms)
+            retry.record_ttft(self.queue.first_text, first_ms)
         await self.on_text(text)
         self.caller_blocked_ms += self.clock.now_ms() - now_ms
 
@@ -152,7 +152,7 @@
         hedged_run = hedging.HedgedRun(step.collect)
         delay_ms = None
         if not waiter.suspect:
-            delay_ms = retry.find_hedge_delay(queue.first_text)
+            delay_ms = retry.compute_hedge_delay(queue.first_text)
         runner = self._make_runner(step, views[0], waiter)
         index, end = await hedged_run.run(runner, delay_ms, make_hedge)
         if index and not hedged_run.faults:
@@ -171,8 +171,8 @@
         return StepResult(text, views[index].name, end)
 
     def _choose_hedge_view(
-        self, step: StepRun, first: placement.View
-    ) -> placement.View | None:
+        self, step: StepRun, first: placement.EndpointView
+    ) -> placement.EndpointView | None:
         """Take a slot on another endpoint for a hedge, if the budget allows.
 
         No hedge is started while requests are queued: the slot is more
@@ -199,7 +199,7 @@
     def _make_runner(
         self,
         step: StepRun,
-        view: placement.View,
+        view: placement.EndpointView,
         waiter: queues_module.Waiter | None,
     ) -> hedging.Runner:
         """Return a run on a slot that is already taken; it frees the slot."""
@@ -239,7 +239,7 @@
         self,
         queue: queues_module.DispatchQueue,
         waiter: queues_module.Waiter | None,
-        view: placement.View,
+        view: placement.EndpointView,
         watch: "Watch",
         end: endpoints_module.RunEnd,
     ) -> None:
@@ -265,10 +265,10 @@
     ) -> None:
         if waiter is not None:
             customer = waiter.item.customer
-            admission.record_work(queue.times, customer, took_ms)
+            admission.record_service_time(queue.times, customer, took_ms)
 
     async def _handle_run_failure(
-        self, step: StepRun, view: placement.View, fault: errors.EndpointError
+        self, step: StepRun, view: placement.EndpointView, fault: errors.EndpointError
     ) -> None:
         """Record a failed run, and find out whether the endpoint crashed.
 
@@ -292,7 +292,7 @@
         finally:
             self.suspects.end_judging(step.fingerprint)
 
-    async def _has_crashed(self, view: placement.View) -> bool:
+    async def _has_crashed(self, view: placement.EndpointView) -> bool:
         endpoint = self.board.endpoints.get(view.name)
         if endpoint is None:
             return False
@@ -305,7 +305,7 @@
     def _record_endpoint_fault(
         self,
         queue: queues_module.DispatchQueue,
-        view: placement.View,
+        view: placement.EndpointView,
         fault: errors.EndpointError,
     ) -> None:
         if isinstance(fault.__cause__, http.TooLate):
