--- a/src/carawayward/gateway/dispatch.py
+++ b/src/carawayward/gateway/dispatch.py
@@ -208,7 +208,9 @@
                 outcomes.Reason.DEADLINE,
                 "no endpoint was free in time; send it again with a later "
                 "deadline",
-                admission.estimate_service_ms(queue.times, step.customer.name),
+                admission.estimate_service_ms(
+                    queue.service_times, step.customer.name
+                ),
             )
         refusal = self._recheck(step)
         if refusal is not None:
@@ -218,10 +220,10 @@
         return waiter
 
     def _make_waiter(self, step: running.StepRun) -> queues_module.Waiter:
-        times, customer = step.queue.times, step.customer.name
-        work = admission.estimate_service_ms(times, customer)
+        service_times, customer = step.queue.service_times, step.customer.name
+        work = admission.estimate_service_ms(service_times, customer)
         latest_ms = admission.find_latest_start(
-            times, customer, self.clock.now_ms(), step.deadline_ms
+            service_times, customer, self.clock.now_ms(), step.deadline_ms
         )
         item = queueing.WaitingRequest(
             customer=step.customer.name,
@@ -379,7 +381,9 @@
         item = queueing.WaitingRequest(
             customer=customer.name,
             weight=customer.weight,
-            work=admission.estimate_service_ms(queue.times, customer.name),
+            work=admission.estimate_service_ms(
+                queue.service_times, customer.name
+            ),
             latest_start_ms=self.clock.now_ms() + wait_limit_ms,
         )
         waiter = queues_module.Waiter(item=item, key=None, excluded=excluded)
--- a/src/carawayward/gateway/fleet.py
+++ b/src/carawayward/gateway/fleet.py
@@ -113,7 +113,9 @@
             and name not in self.unreachable_since
         )
 
-    def record_unreachable(self, view: placement.EndpointView, now_ms: float) -> None:
+    def record_unreachable(
+        self, view: placement.EndpointView, now_ms: float
+    ) -> None:
         """Exclude an endpoint that refuses connections until it reports.
 
         Unlike ejection, this may exclude a whole pool: nothing can be in
@@ -138,7 +140,9 @@
         view.in_flight -= 1
         self.board.in_flight[view.name] = view.in_flight
 
-    def record_success(self, view: placement.EndpointView, unit_ms: float) -> None:
+    def record_success(
+        self, view: placement.EndpointView, unit_ms: float
+    ) -> None:
         """Record the time per unit of work of a complete answer."""
         limits.record_load_part(
             view.limit, view.in_flight, view.other_load, self.entry_vms
--- a/src/carawayward/gateway/planning.py
+++ b/src/carawayward/gateway/planning.py
@@ -249,5 +249,7 @@
         if trial is None:
             continue
         accounts = board.quality.accounts.get(trial.account, {})
-        own_account = accounts.get(board.incarnation, exposure.ExposureAccount())
+        own_account = accounts.get(
+            board.incarnation, exposure.ExposureAccount()
+        )
         accounts[board.incarnation] = exposure.earn(own_account, 1)
--- a/src/carawayward/gateway/queues.py
+++ b/src/carawayward/gateway/queues.py
@@ -51,13 +51,17 @@
     serves: fleet_module.Serves
     fair_queue: queueing.FairQueue = attrs.field(factory=queueing.FairQueue)
     retry_waiters: list[Waiter] = attrs.field(factory=list)
-    times: admission.ServiceTimes = attrs.field(factory=admission.ServiceTimes)
-    promises: admission.RetrySchedule = attrs.field(factory=admission.RetrySchedule)
+    service_times: admission.ServiceTimes = attrs.field(
+        factory=admission.ServiceTimes
+    )
+    retry_schedule: admission.RetrySchedule = attrs.field(
+        factory=admission.RetrySchedule
+    )
     retry_budget: retry.Budget = attrs.field(factory=retry.Budget)
     hedge_budget: retry.Budget = attrs.field(
         factory=lambda: retry.Budget(retry.HEDGE_SHARE)
     )
-    first_text: retry.TtftEstimate = attrs.field(factory=retry.TtftEstimate)
+    ttft: retry.TtftEstimate = attrs.field(factory=retry.TtftEstimate)
     candidates: placement.Candidates = attrs.field(
         factory=lambda: placement.Candidates.from_views([])
     )
@@ -129,7 +133,7 @@
             self.clock.now_ms(),
             slots,
             queue_limit,
-            queue.promises,
+            queue.retry_schedule,
         )
 
     async def wait(
--- a/src/carawayward/gateway/running.py
+++ b/src/carawayward/gateway/running.py
@@ -117,8 +117,8 @@
         now_ms = self.clock.now_ms()
         self.chunks += 1
         if self.chunks == 1:
-            first_ms = now_ms - self.began_ms
-            retry.record_ttft(self.queue.first_text, first_ms)
+            ttft_ms = now_ms - self.began_ms
+            retry.record_ttft(self.queue.ttft, ttft_ms)
         await self.on_text(text)
         self.caller_blocked_ms += self.clock.now_ms() - now_ms
 
@@ -152,7 +152,7 @@
         hedged_run = hedging.HedgedRun(step.collect)
         delay_ms = None
         if not waiter.suspect:
-            delay_ms = retry.compute_hedge_delay(queue.first_text)
+            delay_ms = retry.compute_hedge_delay(queue.ttft)
         runner = self._make_runner(step, views[0], waiter)
         index, end = await hedged_run.run(runner, delay_ms, make_hedge)
         if index and not hedged_run.faults:
@@ -225,7 +225,9 @@
             except trio.Cancelled:
                 now_ms = self.clock.now_ms()
                 if now_ms >= step.deadline_ms:
-                    self._record_work(step.queue, waiter, now_ms - began_ms)
+                    self._record_service_time(
+                        step.queue, waiter, now_ms - began_ms
+                    )
                 raise
             except errors.EndpointError as fault:
                 await self._handle_run_failure(step, view, fault)
@@ -250,14 +252,14 @@
         """
         now_ms = self.clock.now_ms()
         took_ms = now_ms - watch.began_ms
-        self._record_work(queue, waiter, took_ms)
+        self._record_service_time(queue, waiter, took_ms)
         if watch.caller_blocked_ms > MAX_CALLER_BLOCKED_SHARE * took_ms:
             return
         unit_ms = took_ms / (end.output_tokens + BASE_COST_TOKENS)
         self.fleet.record_success(view, unit_ms)
         self.fleet.eject_if_outlier(view, queue.candidates, now_ms)
 
-    def _record_work(
+    def _record_service_time(
         self,
         queue: queues_module.DispatchQueue,
         waiter: queues_module.Waiter | None,
@@ -265,10 +267,15 @@
     ) -> None:
         if waiter is not None:
             customer = waiter.item.customer
-            admission.record_service_time(queue.times, customer, took_ms)
+            admission.record_service_time(
+                queue.service_times, customer, took_ms
+            )
 
     async def _handle_run_failure(
-        self, step: StepRun, view: placement.EndpointView, fault: errors.EndpointError
+        self,
+        step: StepRun,
+        view: placement.EndpointView,
+        fault: errors.EndpointError,
     ) -> None:
         """Record a failed run, and find out whether the endpoint crashed.
 
@@ -350,7 +357,7 @@
         took_ms = self.clock.now_ms() - began_ms
         self.fleet.record_success(view, took_ms)
         self.fleet.eject_if_outlier(view, queue.candidates, began_ms)
-        self._record_work(queue, waiter, took_ms)
+        self._record_service_time(queue, waiter, took_ms)
         retry.record_success(queue.retry_budget)
         return outcomes.Answered(
             text=body, version=call.service, endpoint=view.name
