--- a/tests/failures/test_load_queue.py
+++ b/tests/failures/test_load_queue.py
@@ -1,4 +1,4 @@
-"""More work than the engines can do, as processes."""
+"""Overload of engines, tested with real processes."""
 
 import concurrent.futures
 
@@ -7,7 +7,7 @@
 from tests.common import deployment
 from tests.common import streaming
 
-TIGHT = attrs.evolve(
+SINGLE_ENGINE = attrs.evolve(
     deployment.ODUYA,
     quiet=True,
     entry_vms=1,
@@ -39,11 +39,11 @@
 def test_burst_is_answered_or_refused_truthfully_and_small_ones_get_in():
     """A large customer sends many times what one engine can do in time.
 
-    Those that cannot be answered must be told so at once, with when to come
-    back, rather than time out; none that is told "not run" may have run. A
-    small customer that calls in the middle of it must not notice.
+    Requests that cannot be answered must be refused at once, with a time to
+    retry, rather than time out, and none that is refused as "not run" may
+    have run. A small customer's request during the burst must succeed.
     """
-    with deployment.Deployment(TIGHT) as running:
+    with deployment.Deployment(SINGLE_ENGINE) as running:
         vm = running.entry_vms[0]
         for number in range(6):
             assert ask(vm, f"warm {number}").status == 200
@@ -68,11 +68,11 @@
         assert ran == len(answered) + 1
 
 
-def test_run_that_broke_off_everywhere_is_not_called_not_run():
-    """Every engine breaks off a suggestion before its first word.
+def test_run_that_failed_on_every_engine_is_not_reported_as_not_run():
+    """A request that engines have worked on must not be called "not run".
 
-    Nothing reached the caller, yet the engines worked on it: told "not
-    run", the caller would conclude that nothing had happened.
+    Every engine breaks off the run before its first token. Nothing reaches
+    the caller, but the engines have started on the request.
     """
     with deployment.Deployment(streaming.make_plan()) as running:
         for name in running.pools["matchers"]:
@@ -84,9 +84,9 @@
         assert sum(map(len, runs)) >= 2
 
 
-def test_pool_that_has_run_out_refuses_at_once_and_is_used_again():
-    """The only engine stops, and callers are told so until it is back."""
-    with deployment.Deployment(TIGHT) as running:
+def test_pool_without_endpoints_refuses_at_once_and_recovers():
+    """The only engine stops; requests are refused until it is back."""
+    with deployment.Deployment(SINGLE_ENGINE) as running:
         vm = running.entry_vms[0]
         assert ask(vm, "before").status == 200
         running.processes["matchers-0"].kill()
@@ -94,7 +94,7 @@
         reply = ask(vm, "gone")
         assert reply.status == 503
         assert reply.json()["not_run"] is True
-        pool = TIGHT.pools[0]
+        pool = SINGLE_ENGINE.pools[0]
         running.start_standin(
             "matchers-0",
             "tests.standins.engine",
