--- a/src/carawayward/forwarding/feeds.py
+++ b/src/carawayward/forwarding/feeds.py
@@ -14,7 +14,7 @@
 from carawayward.forwarding import declarations
 from carawayward.forwarding import feed
 from carawayward.forwarding import freshness as freshness_module
-from carawayward.forwarding import measures as measures_module
+from carawayward.forwarding import metrics as metrics_module
 from carawayward.forwarding import ports as ports_module
 from carawayward.forwarding import registry
 from carawayward.forwarding import rollout_rounds
@@ -26,7 +26,8 @@
 ENDPOINTS = "endpoints"
 STATUSES = "statuses"
 # Maximum age of a delegate's attestation of the statuses. Less than the time
-# after which no session tries a new version (``rollout_state.STALE_MS``).
+# after which no session tries a new version
+# (``rollout_state.MAX_STATUS_AGE_MS``).
 STATUSES_MAX_AGE_MS = 2_800.0
 STATUSES_POLL_MS = 1_000.0
 # Minimum wait of a poll while entries are missing, in case the clocks of the
@@ -41,7 +42,7 @@
     ports: ports_module.Ports,
     freshness: freshness_module.FreshnessController,
     rounds: rollout_rounds.RolloutRounds,
-    measures: measures_module.Measures,
+    metrics: metrics_module.Metrics,
 ) -> list[feed.TopicFeed]:
     """Make the feeds of the routing table, endpoints and roll-out statuses."""
     outages = store_outages.OutageTracker(clock)
@@ -51,15 +52,15 @@
         make_statuses_feed(outages, ports, freshness, rounds),
     ]
     for each in topic_feeds:
-        each.count_call = functools.partial(count_call, measures, each.name)
+        each.count_call = functools.partial(count_call, metrics, each.name)
     return topic_feeds
 
 
 def count_call(
-    measures: measures_module.Measures, topic: str, cause: feed.Cause
+    metrics: metrics_module.Metrics, topic: str, cause: feed.Cause
 ) -> None:
     """Count a call to the store by topic and cause."""
-    measures.count("store_calls", topic=topic, cause=cause.value)
+    metrics.count("store_calls", topic=topic, cause=cause.value)
 
 
 def make_table_feed(
@@ -81,7 +82,7 @@
         return min(board.bounds.apply_ms, board.bounds.evacuate_ms)
 
     def get_poll_wait() -> float:
-        return store_polls.find_table_poll(
+        return store_polls.compute_table_poll_ms(
             compute_usable_lease(), get_apply_bound()
         )
 
@@ -129,7 +130,7 @@
     longest_gap_ms = lapses.SAFE_HEARTBEATS * settings.heartbeat_ms
 
     def compute_poll_wait() -> float:
-        return store_polls.find_registry_poll(
+        return store_polls.compute_registry_poll_ms(
             board.bounds.drain_ms, longest_gap_ms
         )
 
--- a/src/carawayward/forwarding/registry.py
+++ b/src/carawayward/forwarding/registry.py
@@ -7,8 +7,8 @@
 from carawayward.decisions import lapses
 from carawayward import events
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
 from carawayward.forwarding import keyed_log
+from carawayward.forwarding import message_types
 from carawayward.forwarding import store_outages
 
 # Live endpoints that could not renew their entries during an outage of the
@@ -20,7 +20,9 @@
 # How long removals are remembered; longer than any backup of the store is old.
 REMOVAL_TTL_MS = 60_000.0
 
-Decode = typing.Callable[[keyed_log.Record], facts.EndpointEntry | None]
+Decode = typing.Callable[
+    [keyed_log.Record], message_types.EndpointEntry | None
+]
 
 
 @attrs.frozen
@@ -133,7 +135,9 @@
             )
 
     def _record_cold_report(
-        self, entry: facts.EndpointEntry, known: facts.EndpointEntry | None
+        self,
+        entry: message_types.EndpointEntry,
+        known: message_types.EndpointEntry | None,
     ) -> None:
         """Record how long an endpoint is cold; it may be if unspecified."""
         if entry.cold_ms is None and known is not None:
--- a/src/carawayward/forwarding/rollouts.py
+++ b/src/carawayward/forwarding/rollouts.py
@@ -13,9 +13,9 @@
 from carawayward.decisions import placement
 from carawayward import events
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 from carawayward.forwarding import rollout_state
-from carawayward.forwarding import version_sessions
+from carawayward.forwarding import session_versions
 from carawayward.forwarding import work_items
 
 # Statuses by which an endpoint says that it failed, and that the time which
@@ -31,30 +31,32 @@
     board: board_module.ForwardingBoard
     clock: clock_module.Clock
     rollouts: dict[str, rollout_state.Rollout] = attrs.field(factory=dict)
-    sessions: version_sessions.VersionSessions = attrs.field(init=False)
+    sessions: session_versions.SessionVersions = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.sessions = version_sessions.VersionSessions(
+        self.sessions = session_versions.SessionVersions(
             self.clock, lambda: self.board.bounds.session_ms
         )
 
-    def choose(self, work: work_items.Work) -> rollout_state.Choice | None:
+    def choose_version(
+        self, work: work_items.Work
+    ) -> rollout_state.VersionChoice | None:
         """The version for a request; None where no roll-out was ordered."""
-        self.take_orders()
-        service, session = work.service, work.facts.session
+        self.apply_orders()
+        service, session = work.service, work.metadata.session
         rollout = self.rollouts.get(service)
         if rollout is None:
-            self.sessions.remember(service, session, "")
+            self.sessions.record(service, session, "")
             return None
-        if rollout.state is facts.RolloutState.COMPLETED:
-            return rollout_state.Choice(rollout, new=True, strict=False)
-        if rollout.state is facts.RolloutState.ROLLED_BACK:
-            return rollout_state.Choice(rollout, new=False, strict=True)
-        new = self._takes_new(rollout, session, work.facts.request_id)
+        if rollout.state is message_types.RolloutState.COMPLETED:
+            return rollout_state.VersionChoice(rollout, new=True, strict=False)
+        if rollout.state is message_types.RolloutState.ROLLED_BACK:
+            return rollout_state.VersionChoice(rollout, new=False, strict=True)
+        new = self._takes_new(rollout, session, work.metadata.request_id)
         version = rollout.order.version if new else ""
-        self.sessions.remember(service, session, version)
+        self.sessions.record(service, session, version)
         bad = rollout.verdict is canary.Verdict.BAD
-        return rollout_state.Choice(
+        return rollout_state.VersionChoice(
             rollout, new=new, strict=bad or not rollout.known
         )
 
@@ -72,7 +74,7 @@
             early = rollout.find_part(now_ms) < canary.TRIAL_PART
             if new or early:
                 return new
-        if rollout.opened and not canary.has_room(
+        if rollout.opened and not canary.may_start_session(
             rollout.find_part(now_ms),
             rollout.order.duration_ms,
             rollout.sum_exposure(self.board.bounds),
@@ -88,13 +90,13 @@
         if not rollout.known:
             return 0.0
         if (
-            now_ms - rollout.read_ms > rollout_state.STALE_MS
+            now_ms - rollout.read_ms > rollout_state.MAX_STATUS_AGE_MS
             and not rollout.opened
         ):
             return 0.0
         part = rollout.find_part(now_ms)
         exposure = rollout.sum_exposure(self.board.bounds)
-        share = canary.find_share(part, rollout.verdict, exposure)
+        share = canary.compute_share(part, rollout.verdict, exposure)
         # Once everything has gone over nothing goes back but by a halt: a
         # session would change its version a second time.
         if rollout.opened and rollout.verdict is not canary.Verdict.BAD:
@@ -104,8 +106,8 @@
         rollout.opened = share >= 1.0
         return share
 
-    def count_endpoints(
-        self, choice: rollout_state.Choice, endpoints: int
+    def limit_endpoints(
+        self, choice: rollout_state.VersionChoice, endpoints: int
     ) -> int:
         """On how many of the chosen version's endpoints the work goes."""
         if not choice.new or not choice.rollout.running:
@@ -124,7 +126,7 @@
 
     def begin(
         self,
-        choice: rollout_state.Choice | None,
+        choice: rollout_state.VersionChoice | None,
         work: work_items.Work,
         version: str,
     ) -> rollout_state.Run | None:
@@ -151,7 +153,7 @@
         self, run: rollout_state.Run | None, work: work_items.Work
     ) -> None:
         """A run is over, however it ended and whether its caller has left."""
-        self.sessions.touch(work.service, work.facts.session)
+        self.sessions.touch(work.service, work.metadata.session)
         if run is None:
             return
         rollout = run.rollout
@@ -240,7 +242,7 @@
         if verdict is not rollout.verdict:
             self._take_verdict(rollout, verdict)
 
-    def take_orders(self) -> None:
+    def apply_orders(self) -> None:
         """Begin what operators have ordered since the last call."""
         for service, order in self.board.orders.items():
             known = self.rollouts.get(service)
@@ -250,7 +252,7 @@
                 )
 
     def take_state(
-        self, rollout: rollout_state.Rollout, state: facts.RolloutState
+        self, rollout: rollout_state.Rollout, state: message_types.RolloutState
     ) -> None:
         """Take what has been decided."""
         rollout.reported = state.value
--- a/src/carawayward/gateway/dispatch.py
+++ b/src/carawayward/gateway/dispatch.py
@@ -1,4 +1,8 @@
-"""Sends work to endpoints: queue, choose, run, try another, or refuse."""
+"""Dispatches requests to endpoints.
+
+A request is queued, placed on an endpoint and run there. If the endpoint
+fails, the request is retried on another one or refused.
+"""
 
 import attrs
 import trio
@@ -15,7 +19,7 @@
 from carawayward import errors
 from carawayward.gateway import endpoints as endpoints_module
 from carawayward.gateway import fleet as fleet_module
-from carawayward.gateway import lanes as lanes_module
+from carawayward.gateway import queues as queues_module
 from carawayward.gateway import requests
 from carawayward.gateway import running
 from carawayward import outcomes
@@ -23,17 +27,22 @@
 
 RETRY_AFTER_MS = 1_000
 MAX_ATTEMPTS = 3
-TRIAL_PAUSE_MS = 300.0
-# A refusal must leave before the border gives up on the request itself.
+SUSPECT_RETRY_DELAY_MS = 300.0
+# A request that stays queued is refused this long before its latest start,
+# so that the refusal ("not run") precedes the deadline, at which
+# ``lifecycle`` ends the request with an unknown outcome.
 REFUSAL_MARGIN_MS = 10.0
-# A later step of a cascade has already cost a run: it goes before its
-# customer's new requests.
-STEP_PRIORITY = 1
+# The earlier steps of a cascade have already been paid for, so a later step
+# is dispatched before the same customer's new requests.
+LATER_STEP_PRIORITY = 1
 
 
 @attrs.define(eq=False)
 class Dispatcher:
-    """Places single runs and calls; knows nothing of plans or bills."""
+    """Places single engine runs and service calls on endpoints.
+
+    Plans of several steps and billing are handled by ``lifecycle``.
+    """
 
     board: blackboard_module.Blackboard
     clock: clock_module.Clock
@@ -41,8 +50,8 @@
     endpoints: endpoints_module.EndpointClient
     suspects: suspects_module.SuspectsController
     fleet: fleet_module.Fleet
-    lanes: lanes_module.Lanes
-    runs: running.Runs
+    queues: queues_module.DispatchQueues
+    runs: running.RunExecutor
 
     @classmethod
     def from_config(
@@ -53,12 +62,14 @@
         endpoints: endpoints_module.EndpointClient,
         suspects: suspects_module.SuspectsController,
     ) -> "Dispatcher":
-        """Put the parts together."""
+        """Create the dispatcher with its fleet, queues and executor."""
         fleet = fleet_module.Fleet(board)
-        lanes = lanes_module.Lanes(
+        queues = queues_module.DispatchQueues(
             clock, fleet, settings.failure_domain, suspects
         )
-        runs = running.Runs(board, clock, endpoints, suspects, fleet, lanes)
+        runs = running.RunExecutor(
+            board, clock, endpoints, suspects, fleet, queues
+        )
         return cls(
             board,
             clock,
@@ -66,17 +77,17 @@
             endpoints,
             suspects,
             fleet,
-            lanes,
+            queues,
             runs,
         )
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to look at the queues now and then."""
-        await self.lanes.start(nursery)
+        """Start the periodic sweep of the queues."""
+        await self.queues.start(nursery)
 
     async def close(self) -> None:
-        """Nothing to release."""
-        await self.lanes.close()
+        """Close the queues."""
+        await self.queues.close()
 
     async def run_step(
         self,
@@ -87,13 +98,14 @@
         deadline_ms: float,
         on_text: running.OnText,
         buffered: bool,
-    ) -> running.StepDone | outcomes.Outcome:
+    ) -> running.StepResult | outcomes.Outcome:
         """Run one step of a plan.
 
-        ``deadline_ms`` is on the own clock; a ``buffered`` step hands its
-        text to ``on_text`` in one piece, once it is whole.
+        ``deadline_ms`` is a time on this process's monotonic clock. A
+        ``buffered`` step passes its text to ``on_text`` in one piece, once
+        the answer is complete.
         """
-        step = running.Step(
+        step = running.StepRun(
             customer=customer,
             request=request,
             version=version,
@@ -104,19 +116,19 @@
             fingerprint=suspicion.make_fingerprint(
                 customer.name, request.messages
             ),
-            lane=self.lanes.find(
+            queue=self.queues.find(
                 version, lambda endpoint: version in endpoint.versions
             ),
-            ran=index > 0,
+            may_have_started=index > 0,
         )
         for attempt in range(MAX_ATTEMPTS):
             waiter = await self._acquire(step, attempt)
-            if not isinstance(waiter, lanes_module.Waiter):
+            if not isinstance(waiter, queues_module.Waiter):
                 return waiter
             assert waiter.view is not None
             if not self._still_serves(step, waiter.view):
                 step.excluded |= {waiter.view.name}
-                self.lanes.release(waiter.view, waiter)
+                self.queues.release(waiter.view, waiter)
                 continue
             try:
                 return await self.runs.run(step, waiter)
@@ -128,12 +140,12 @@
 
     async def _end_or_retry(
         self,
-        step: running.Step,
-        waiter: lanes_module.Waiter,
+        step: running.StepRun,
+        waiter: queues_module.Waiter,
         fault: errors.EndpointError,
     ) -> outcomes.Outcome | None:
-        """Judge a failed attempt; None means try another endpoint."""
-        step.ran |= fault.sent
+        """Return the outcome of a failed attempt, or None to retry."""
+        step.may_have_started |= fault.sent
         step.excluded |= {fault.endpoint}
         if step.buffered:
             step.parts.clear()
@@ -145,15 +157,16 @@
             )
         reached = fault.sent or fault.status is not None
         now_ms = self.clock.now_ms()
-        if reached and not retry.spend(step.lane.retries, now_ms):
+        if reached and not retry.spend(step.queue.retry_budget, now_ms):
             return self._refuse_failed(step)
         if waiter.suspect and not fault.sent:
-            # Another entry VM's trial may just have crashed the endpoint;
-            # its conviction must arrive before this one tries the next.
-            await self.clock.sleep(TRIAL_PAUSE_MS)
+            # Another entry VM may just have crashed this endpoint with the
+            # same request. Wait until its report of the crash has arrived,
+            # so that a convicted request is not tried on one more endpoint.
+            await self.clock.sleep(SUSPECT_RETRY_DELAY_MS)
         return None
 
-    def _refuse_failed(self, step: running.Step) -> outcomes.Outcome:
+    def _refuse_failed(self, step: running.StepRun) -> outcomes.Outcome:
         return step.refuse(
             outcomes.Reason.ENDPOINT_FAILED,
             "the endpoints that were tried failed; send it again",
@@ -161,16 +174,19 @@
         )
 
     async def _acquire(
-        self, step: running.Step, attempt: int
-    ) -> lanes_module.Waiter | outcomes.Outcome:
-        """Wait for an endpoint and check once more before it is used."""
+        self, step: running.StepRun, attempt: int
+    ) -> queues_module.Waiter | outcomes.Outcome:
+        """Wait for a slot, then check again that the step may still run.
+
+        Returns the waiter that holds the slot, or the outcome of a refusal.
+        """
         refusal = self._recheck(step)
         if refusal is not None:
             return refusal
         waiter = self._make_waiter(step)
-        lane = step.lane
-        self.lanes.refresh(lane)
-        if not lane.candidates.views:
+        queue = step.queue
+        self.queues.refresh_candidates(queue)
+        if not queue.candidates.views:
             if attempt:
                 return self._refuse_failed(step)
             return step.refuse(
@@ -178,61 +194,64 @@
                 f"no endpoint runs {step.version} just now; come back",
                 RETRY_AFTER_MS,
             )
-        if step.excluded.issuperset(v.name for v in lane.candidates.views):
-            # All have been tried; waiting would only hold the caller.
+        if step.excluded.issuperset(v.name for v in queue.candidates.views):
+            # Every candidate has failed; waiting would only delay the
+            # refusal.
             return self._refuse_failed(step)
         if attempt == 0 and step.index == 0:
-            places = self._share_places(step.customer)
-            early = self.lanes.admit(lane, waiter, places)
-            if early is not None:
-                return self._refuse_early(step, early)
-        if not await self.lanes.wait(lane, waiter, aside=attempt > 0):
+            queue_limit = self._compute_queue_limit(step.customer)
+            rejection = self.queues.admit(queue, waiter, queue_limit)
+            if rejection is not None:
+                return self._refuse_admission(step, rejection)
+        if not await self.queues.wait(queue, waiter, is_retry=attempt > 0):
             return self._recheck(step) or step.refuse(
                 outcomes.Reason.DEADLINE,
                 "no endpoint was free in time; send it again with a later "
                 "deadline",
-                admission.expect_work(lane.times, step.customer.name),
+                admission.estimate_service_ms(
+                    queue.service_times, step.customer.name
+                ),
             )
         refusal = self._recheck(step)
         if refusal is not None:
             assert waiter.view is not None
-            self.lanes.release(waiter.view, waiter)
+            self.queues.release(waiter.view, waiter)
             return refusal
         return waiter
 
-    def _make_waiter(self, step: running.Step) -> lanes_module.Waiter:
-        times, customer = step.lane.times, step.customer.name
-        work = admission.expect_work(times, customer)
+    def _make_waiter(self, step: running.StepRun) -> queues_module.Waiter:
+        service_times, customer = step.queue.service_times, step.customer.name
+        work = admission.estimate_service_ms(service_times, customer)
         latest_ms = admission.find_latest_start(
-            times, customer, self.clock.now_ms(), step.deadline_ms
+            service_times, customer, self.clock.now_ms(), step.deadline_ms
         )
-        item = queueing.Item(
+        item = queueing.WaitingRequest(
             customer=step.customer.name,
             weight=step.customer.weight,
             work=work,
             latest_start_ms=latest_ms - REFUSAL_MARGIN_MS,
-            priority=STEP_PRIORITY if step.index else 0,
+            priority=LATER_STEP_PRIORITY if step.index else 0,
         )
-        return lanes_module.Waiter(
+        return queues_module.Waiter(
             item=item,
-            key=placement.hash_key(running.find_prefix(step)),
+            key=placement.hash_key(running.find_cacheable_prefix(step)),
             fingerprint=step.fingerprint,
             excluded=step.excluded,
         )
 
-    def _share_places(self, customer: declaration.Customer) -> int:
+    def _compute_queue_limit(self, customer: declaration.Customer) -> int:
         config = self.board.config
-        known = config.customers.values() if config else ()
-        return admission.share_places(
+        customers = config.customers.values() if config else ()
+        return admission.compute_queue_limit(
             self.limits.max_waiting,
             customer.weight,
-            sum(other.weight for other in known),
+            sum(other.weight for other in customers),
         )
 
-    def _refuse_early(
-        self, step: running.Step, early: admission.Refusal
+    def _refuse_admission(
+        self, step: running.StepRun, rejection: admission.Refusal
     ) -> outcomes.Outcome:
-        if early.cause is admission.Cause.HOPELESS:
+        if rejection.cause is admission.Cause.HOPELESS:
             return step.refuse(
                 outcomes.Reason.DEADLINE,
                 "the deadline is shorter than such an answer takes; give a "
@@ -242,14 +261,14 @@
             outcomes.Reason.OVERLOADED,
             "your requests exceed your share of what can be served; come "
             "back when told",
-            early.retry_after_ms,
+            rejection.retry_after_ms,
         )
 
-    def _recheck(self, step: running.Step) -> outcomes.Outcome | None:
-        """Check at the dispatch instant what may have changed while queued.
+    def _recheck(self, step: running.StepRun) -> outcomes.Outcome | None:
+        """Refuse a step that is no longer allowed to run.
 
-        A withdrawal or a conviction that arrives while a request waits
-        must hold for it.
+        Called right before dispatch: a version may have been withdrawn or
+        the request convicted while it was queued.
         """
         config = self.board.config
         declared = config.versions.get(step.version) if config else None
@@ -264,21 +283,25 @@
             )
         if self.suspects.is_convicted(step.fingerprint):
             key = step.request.request_key
-            step.ran |= self.suspects.may_have_run(step.fingerprint, key)
+            step.may_have_started |= self.suspects.may_have_run(
+                step.fingerprint, key
+            )
             return step.refuse(
                 outcomes.Reason.CONVICTED,
                 "this request crashed two endpoints; change it, or ask "
                 "your operators to look at the engine",
-                suspicion.FACT_LIFE_MS,
+                suspicion.RECORD_TTL_MS,
             )
         return None
 
-    def _still_serves(self, step: running.Step, view: placement.View) -> bool:
-        """Whether the endpoint has not left or dropped the version."""
-        known = self.board.endpoints.get(view.name)
-        if known is None or known.leaving:
+    def _still_serves(
+        self, step: running.StepRun, view: placement.EndpointView
+    ) -> bool:
+        """Whether the endpoint is staying and still serves the version."""
+        endpoint = self.board.endpoints.get(view.name)
+        if endpoint is None or endpoint.leaving:
             return False
-        return step.version in known.versions
+        return step.version in endpoint.versions
 
     async def call_service(
         self,
@@ -289,30 +312,30 @@
     ) -> outcomes.Outcome:
         """Call a plain service under the same limits as an engine.
 
-        A call that may not be repeated is tried elsewhere only as long as
-        no byte of it can have left, and is never sent twice at once.
+        A call that is not repeatable is retried on another endpoint only if
+        no byte of it can have been sent, and it is never hedged.
         """
-        lane = self.lanes.find(
+        queue = self.queues.find(
             f"pool:{pool}", lambda endpoint: endpoint.pool == pool
         )
         excluded: frozenset[str] = frozenset()
-        ran = False
+        may_have_started = False
         for attempt in range(MAX_ATTEMPTS):
             waiter = await self._acquire_call(
-                customer, call, lane, excluded, attempt
+                customer, call, queue, excluded, attempt
             )
             if isinstance(waiter, outcomes.NotRun):
-                if ran:
+                if may_have_started:
                     break
                 return waiter
             try:
-                return await self.runs.call(lane, waiter, call, operation)
+                return await self.runs.call(queue, waiter, call, operation)
             except errors.EndpointError as fault:
-                ran |= fault.sent
+                may_have_started |= fault.sent
                 excluded |= {fault.endpoint}
-                if not self._may_call_again(lane, operation, fault):
+                if not self._may_call_again(queue, operation, fault):
                     break
-        if ran:
+        if may_have_started:
             return outcomes.Unknown(
                 outcomes.Reason.ENDPOINT_SILENT,
                 "it may have run; look before you send it again",
@@ -325,7 +348,7 @@
 
     def _may_call_again(
         self,
-        lane: lanes_module.Lane,
+        queue: queues_module.DispatchQueue,
         operation: declaration.Operation,
         fault: errors.EndpointError,
     ) -> bool:
@@ -333,52 +356,55 @@
             return False
         if not fault.sent and fault.status is None:
             return True
-        return retry.spend(lane.retries, self.clock.now_ms())
+        return retry.spend(queue.retry_budget, self.clock.now_ms())
 
     async def _acquire_call(
         self,
         customer: declaration.Customer,
         call: requests.ServiceCall,
-        lane: lanes_module.Lane,
+        queue: queues_module.DispatchQueue,
         excluded: frozenset[str],
         attempt: int,
-    ) -> lanes_module.Waiter | outcomes.NotRun:
-        self.lanes.refresh(lane)
-        missing = outcomes.NotRun(
+    ) -> queues_module.Waiter | outcomes.NotRun:
+        """Wait for a slot for a service call, or return the refusal."""
+        self.queues.refresh_candidates(queue)
+        no_endpoint = outcomes.NotRun(
             outcomes.Reason.NO_ENDPOINT,
             f"no endpoint of {call.service} just now; come back",
             RETRY_AFTER_MS,
         )
-        if not any(v.name not in excluded for v in lane.candidates.views):
-            return missing
-        patience_ms = self.limits.service_timeout_ms
+        if not any(v.name not in excluded for v in queue.candidates.views):
+            return no_endpoint
+        wait_limit_ms = self.limits.service_timeout_ms
         if call.deadline_ms is not None:
-            patience_ms = min(patience_ms, call.deadline_ms)
-        item = queueing.Item(
+            wait_limit_ms = min(wait_limit_ms, call.deadline_ms)
+        item = queueing.WaitingRequest(
             customer=customer.name,
             weight=customer.weight,
-            work=admission.expect_work(lane.times, customer.name),
-            latest_start_ms=self.clock.now_ms() + patience_ms,
+            work=admission.estimate_service_ms(
+                queue.service_times, customer.name
+            ),
+            latest_start_ms=self.clock.now_ms() + wait_limit_ms,
         )
-        waiter = lanes_module.Waiter(item=item, key=None, excluded=excluded)
+        waiter = queues_module.Waiter(item=item, key=None, excluded=excluded)
         if attempt == 0:
-            places = self._share_places(customer)
-            early = self.lanes.admit(lane, waiter, places)
-            if early is not None:
+            queue_limit = self._compute_queue_limit(customer)
+            rejection = self.queues.admit(queue, waiter, queue_limit)
+            if rejection is not None:
                 return outcomes.NotRun(
                     outcomes.Reason.OVERLOADED,
                     "your calls exceed your share; come back when told",
-                    int(early.retry_after_ms or RETRY_AFTER_MS),
+                    int(rejection.retry_after_ms or RETRY_AFTER_MS),
                 )
-        if not await self.lanes.wait(lane, waiter, aside=attempt > 0):
+        if not await self.queues.wait(queue, waiter, is_retry=attempt > 0):
             return outcomes.NotRun(
                 outcomes.Reason.DEADLINE,
                 "no endpoint was free in time; send it again",
                 RETRY_AFTER_MS,
             )
         assert waiter.view is not None
-        known = self.board.endpoints.get(waiter.view.name)
-        if known is None or known.leaving:
-            self.lanes.release(waiter.view)
-            return missing
+        endpoint = self.board.endpoints.get(waiter.view.name)
+        if endpoint is None or endpoint.leaving:
+            self.queues.release(waiter.view)
+            return no_endpoint
         return waiter
--- a/src/carawayward/gateway/lifecycle.py
+++ b/src/carawayward/gateway/lifecycle.py
@@ -96,7 +96,7 @@
                 f"name one of your tasks: {', '.join(customer.tasks)}",
             )
         fresh = self.board.is_fresh(self.clock.now_ms())
-        lost = session.find_lost_pin(task, config.models, pins, fresh)
+        lost = session.find_unavailable_pin(task, config.models, pins, fresh)
         if lost is not None:
             return outcomes.NotRun(
                 outcomes.Reason.VERSION_WITHDRAWN,
@@ -113,7 +113,7 @@
                 outcomes.Reason.VERSION_WITHDRAWN,
                 "no version is left for this session; open a new one",
             )
-        frozen = session.find_frozen(
+        frozen = session.find_unstartable_version(
             [step.version for step in plan.steps],
             pins,
             config.versions,
@@ -186,7 +186,7 @@
                 on_text if last else hold,
                 buffered=not (last and request.stream),
             )
-            if not isinstance(result, running.StepDone):
+            if not isinstance(result, running.StepResult):
                 return result
             end = result.end
             self._record_answer(
@@ -218,7 +218,7 @@
         request: requests.Completion,
         index: int,
         version: str,
-        done: running.StepDone,
+        done: running.StepResult,
         began_ms: float,
     ) -> None:
         """Let a step's answer be rated and its time be learned."""
--- a/tests/common/store_drill.py
+++ b/tests/common/store_drill.py
@@ -61,7 +61,7 @@
     """Count the calls of all entry VMs to the store by cause."""
     found: collections.Counter = collections.Counter()
     for each in deployment.daemons:
-        for (name, labels), total in each.app.measures.counters.items():
+        for (name, labels), total in each.app.metrics.counters.items():
             if name == "store_calls":
                 found[dict(labels)["cause"]] += round(total)
     return found
@@ -115,9 +115,9 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(send_forever, deployment, outcome)
             for _ in range(plan.restores):
-                deployment.store.refusing = 503
+                deployment.store.error_status = 503
                 await trio.sleep(plan.outage_s)
-                deployment.store.refusing = 0
+                deployment.store.error_status = 0
                 deployment.store.restore_copy()
             await trio.sleep(plan.rewrite_delay_s)
             write_lost_changes(deployment, left)
--- a/tests/cover/test_forwarding_freshness.py
+++ b/tests/cover/test_forwarding_freshness.py
@@ -13,12 +13,12 @@
 from carawayward.forwarding import attestation
 from carawayward.forwarding import board as board_module
 from carawayward.forwarding import change_log
-from carawayward.forwarding import facts
 from carawayward.forwarding import feed
 from carawayward.forwarding import freshness
 from carawayward.forwarding import freshness_messages
 from carawayward.forwarding import keyed_log
 from carawayward.forwarding import load_report_messages
+from carawayward.forwarding import message_types
 from carawayward.forwarding import rollout_rounds
 from carawayward.forwarding import rollouts
 
@@ -31,7 +31,7 @@
     sent: list[tuple[str, bytes]] = attrs.field(factory=list)
     handlers: dict = attrs.field(factory=dict)
 
-    def list_domain_peers(self):
+    def list_delegate_candidates(self):
         return self.peers
 
     def add_handler(self, kind, handler):
@@ -224,7 +224,7 @@
     ):
         try:
             deliver(client, reader.board.name, cbor2.dumps(fields))
-        except load_report_messages.UNREADABLE:
+        except load_report_messages.DECODE_ERRORS:
             continue
         raise AssertionError(fields)
     assert not topic.confirmed
@@ -263,18 +263,18 @@
     """Make the rounds of one running roll-out on one of several entry VMs."""
     clock: typing.Any = clock_module.ManualClock(now=10_000.0)
     board = board_module.ForwardingBoard(name=name, failure_domain="north")
-    board.orders["desk"] = facts.RolloutOrder(
+    board.orders["desk"] = message_types.RolloutOrder(
         service="desk", version="v2", duration_ms=60_000.0
     )
     chosen = rollouts.Rollouts(board, clock)
-    chosen.take_orders()
+    chosen.apply_orders()
     made = rollout_rounds.RolloutRounds(
         board,
         clock,
         chosen,
         statuses,
-        lambda record: facts.RolloutStatus(
-            "desk", "v2", facts.RolloutState.RUNNING
+        lambda record: message_types.RolloutStatus(
+            "desk", "v2", message_types.RolloutState.RUNNING
         ),
         lambda status: keyed_log.Record("desk", b"running"),
         lambda: names,
@@ -540,7 +540,7 @@
     try:
         for fields in chunks:
             deliver(client, delegate.board.name, cbor2.dumps(fields))
-    except load_report_messages.UNREADABLE:
+    except load_report_messages.DECODE_ERRORS:
         assert mine.position == 0
         return
     raise AssertionError("a corrupt table was applied")
--- a/tests/failures/test_forwarding_delegates.py
+++ b/tests/failures/test_forwarding_delegates.py
@@ -107,7 +107,7 @@
             feed = deployment.find_controller(TABLE, cut)
             feed.topic = UnreachableTopic()
             await trio.sleep(2.0 * lease_ms / 1000)
-            assert await deployment.ask_ready(cut) == 200
+            assert await deployment.check_readiness(cut) == 200
             assert (
                 await deployment.call("GET", "/look/", daemon=cut)
             ).status == 200
--- a/tests/failures/test_forwarding_eras.py
+++ b/tests/failures/test_forwarding_eras.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 from carawayward.forwarding import registration
 from carawayward.forwarding import registry
 from tests.common import forwarding
@@ -165,7 +165,7 @@
     """Make all entry VMs apply a decision that the store then loses."""
     deployment.store.save_copy()
     write_decision(deployment, "completed")
-    decided = [facts.RolloutState.COMPLETED] * len(deployment.daemons)
+    decided = [message_types.RolloutState.COMPLETED] * len(deployment.daemons)
     await deployment.wait_for(lambda: list_states(deployment) == decided)
     deployment.store.restore_copy()
 
@@ -182,7 +182,8 @@
                 lambda: read_status(deployment) == "completed"
             )
             assert (
-                list_states(deployment) == [facts.RolloutState.COMPLETED] * 3
+                list_states(deployment)
+                == [message_types.RolloutState.COMPLETED] * 3
             )
             topic = deployment.store.topic("keyed.status")
             await trio.sleep(1.5)
--- a/tests/failures/test_forwarding_store.py
+++ b/tests/failures/test_forwarding_store.py
@@ -31,7 +31,7 @@
             deployment.store.topics["keyed.op"].newest.clear()
             await deployment.start_daemon_unready()
             answer = await deployment.call("GET", "/look/", daemon=1)
-            ready = await deployment.ask_ready(1)
+            ready = await deployment.check_readiness(1)
             assert (answer.status, ready) == (503, 503)
             assert float(answer.headers["retry-after"]) > 0
             deployment.store.put(
@@ -40,7 +40,7 @@
             await deployment.wait_for(
                 lambda: deployment.daemons[1].board.state.value == "ready"
             )
-            assert await deployment.ask_ready(1) == 200
+            assert await deployment.check_readiness(1) == 200
             answer = await deployment.call("GET", "/look/", daemon=1)
             assert answer.status == 200
 
@@ -115,10 +115,10 @@
             desk, key_lease_ms=1_600
         ) as deployment:
             board, clock = deployment.daemon.board, deployment.daemon.clock
-            peers = deployment.find_hints().peers
+            peers = deployment.get_reporter().peers
             for name in ("vm-b", "vm-c"):
                 peers[name] = make_peer(name, clock.now_ms())
-            assert await deployment.ask_ready(0) == 200
+            assert await deployment.check_readiness(0) == 200
             deployment.store.silent = True
             await deployment.wait_for(
                 lambda: not board.is_key_lease_valid(clock.boot_ms())
@@ -127,13 +127,13 @@
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) < 0.1
             assert answer.headers["connection"] == "close"
-            assert await deployment.ask_ready(0) == 503
+            assert await deployment.check_readiness(0) == 503
             for peer in peers.values():
                 peer.last_seen_ms, peer.stale = clock.now_ms(), True
             answer = await deployment.call("GET", "/look/")
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) >= 1.0
-            assert await deployment.ask_ready(0) == 200
+            assert await deployment.check_readiness(0) == 200
 
     trio.run(main)
 
@@ -152,18 +152,18 @@
             desk, key_lease_ms=8_000
         ) as deployment:
             board, clock = deployment.daemon.board, deployment.daemon.clock
-            peers = deployment.find_hints().peers
+            peers = deployment.get_reporter().peers
             peers["vm-b"] = make_peer("vm-b", clock.now_ms())
             deployment.store.silent = True
             await deployment.wait_for(lambda: board.store_failing)
             assert board.is_key_lease_valid(clock.boot_ms())
-            assert await deployment.ask_ready(0) == 503
+            assert await deployment.check_readiness(0) == 503
             answer = await deployment.call("GET", "/look/")
             assert answer.status == 200
             assert answer.headers["connection"] == "close"
             deployment.store.silent = False
             await deployment.wait_for(lambda: not board.store_failing)
-            assert await deployment.ask_ready(0) == 200
+            assert await deployment.check_readiness(0) == 200
 
     trio.run(main)
 
@@ -185,7 +185,7 @@
             assert float(answer.headers["retry-after"]) >= 1.0
             assert not any(desk.runs for desk in desks)
             assert not forwarder.fleet.list_quarantined()
-            counted = deployment.daemon.app.measures.counters
+            counted = deployment.daemon.app.metrics.counters
             assert counted["attempts", (("outcome", "withheld"),)] == 1.0
 
     trio.run(main)
@@ -232,7 +232,7 @@
     async def main():
         desks = make_desks()
         async with forwarding.open_forwarding(*desks) as deployment:
-            deployment.store.refusing = 503
+            deployment.store.error_status = 503
             feed = deployment.find_controller(0)
             await deployment.wait_for(lambda: feed.failing)
             deployment.store.put(
@@ -240,8 +240,8 @@
             )
             deployment.store.put("keyed.servers", "desk-0", None)
             for topic in ("keyed.op", "keyed.servers"):
-                deployment.store.topic(topic).forget()
-            deployment.store.refusing = 0
+                deployment.store.topic(topic).drop_history()
+            deployment.store.error_status = 0
             board = deployment.daemon.board
             await deployment.wait_for(
                 lambda: deployment.find_table().revision == 2
@@ -286,9 +286,9 @@
         desks = make_desks()
         async with forwarding.open_forwarding(*desks) as deployment:
             await trio.sleep(0.2)
-            deployment.store.deaf = True
+            deployment.store.delaying_polls = True
             deployment.register(desks[0], state="draining", sequence=2)
-            deployment.store.topic("keyed.servers").forget()
+            deployment.store.topic("keyed.servers").drop_history()
             drain_s = deployment.daemon.board.bounds.drain_ms / 1000
             await trio.sleep(0.8 * drain_s)
             for _ in range(4):
@@ -311,12 +311,12 @@
             *desks, heartbeat_ms=HEARTBEAT_MS
         ) as deployment:
             feed = deployment.find_controller(0)
-            deployment.store.refusing = 503
+            deployment.store.error_status = 503
             await deployment.wait_for(lambda: feed.failing)
             await trio.sleep(4 * HEARTBEAT_MS / 1000)
             for desk in desks:
                 deployment.store.put("keyed.servers", desk.name, None)
-            deployment.store.refusing = 0
+            deployment.store.error_status = 0
             await deployment.wait_for(lambda: not feed.failing)
             assert (await deployment.call("POST", "/log/")).status == 200
             deployment.register(desks[0], sequence=2)
@@ -375,14 +375,14 @@
         async with forwarding.open_forwarding(desk) as deployment:
             fleet = deployment.daemon.app.forwarder.fleet
             assert (await deployment.call("POST", "/log/")).status == 200
-            before = fleet.places["desk-0"].view
+            before = fleet.tracked["desk-0"].view
             deployment.register(desk, born=1_700_000_009_000, sequence=1)
             board = deployment.daemon.board
             await deployment.wait_for(
                 lambda: board.endpoints["desk-0"].born == 1_700_000_009_000
             )
             assert (await deployment.call("POST", "/log/")).status == 200
-            assert fleet.places["desk-0"].view is not before
+            assert fleet.tracked["desk-0"].view is not before
 
     trio.run(main)
 
@@ -409,7 +409,7 @@
             late = []
 
             async def stream():
-                bodies.append((await deployment.ask_engine()).body)
+                bodies.append((await deployment.request_stream()).body)
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(stream)
@@ -418,7 +418,7 @@
                 await deployment.wait_for(
                     lambda: deployment.daemon.board.state.value == "leaving"
                 )
-                assert await deployment.ask_ready(0) == 503
+                assert await deployment.check_readiness(0) == 503
                 early_answer = await deployment.call("GET", "/look/")
                 await deployment.wait_for(
                     lambda: deployment.daemon.board.refusing
