--- a/src/carawayward/forwarding/feeds.py
+++ b/src/carawayward/forwarding/feeds.py
@@ -192,7 +192,7 @@
         outages,
         rounds.replace,
         rounds.apply,
-        rounds.prove,
+        rounds.mark_current,
         get_poll_wait=lambda: STATUSES_POLL_MS,
         is_needed=rounds.is_needed,
         has_delegate=functools.partial(freshness.has_delegate, STATUSES),
--- a/src/carawayward/forwarding/rollout_rounds.py
+++ b/src/carawayward/forwarding/rollout_rounds.py
@@ -112,7 +112,7 @@
             self.latest[status.service] = status
             self._take_status(status)
 
-    def prove(self, as_of_ms: float) -> None:
+    def mark_current(self, as_of_ms: float) -> None:
         """Nothing followed the statuses at ``as_of_ms`` on the boot clock."""
         self.as_of_ms = max(self.as_of_ms, as_of_ms)
         for rollout in self.rollouts.rollouts.values():
--- a/tests/cover/test_forwarding_delegates.py
+++ b/tests/cover/test_forwarding_delegates.py
@@ -154,7 +154,7 @@
         is_needed=lambda: False,
         replace=None,
         apply=None,
-        prove=None,
+        mark_current=None,
         begin_era=None,
         begin_listing=None,
     )
--- a/tests/cover/test_forwarding_freshness.py
+++ b/tests/cover/test_forwarding_freshness.py
@@ -43,7 +43,7 @@
 
 @attrs.define
 class FakeFeed:
-    """A topic without changes; records what it was told of its position."""
+    """A topic without changes; records the positions it is notified of."""
 
     position: int = 7
     as_of_ms: float = 0.0
--- a/tests/failures/test_forwarding_delegates.py
+++ b/tests/failures/test_forwarding_delegates.py
@@ -46,7 +46,7 @@
 def test_one_entry_vm_reads_the_store_for_its_failure_domain():
     """Guards against four entry VMs making four times the calls of one.
 
-    The store rejects calls when there are too many, although nothing changed.
+    The store rejects calls that ask for nothing new, and nothing had changed.
     """
 
     async def main():
--- a/tests/model/rollout_steps.py
+++ b/tests/model/rollout_steps.py
@@ -145,7 +145,7 @@
         except errors.PlatformUnavailable:
             return
         self.rounds.replace(batch.records)
-        self.rounds.prove(0.0)
+        self.rounds.mark_current(0.0)
         self.rounds.get_end = lambda: batch.end
         await self.rounds._step(self.rollout)
 
