--- a/bench/load_reports.py
+++ b/bench/load_reports.py
@@ -1,8 +1,8 @@
-"""What load reports cost a node: ``./build.sh bench load_reports``.
+"""Measures the traffic of load reports: ``./build.sh bench load_reports``.
 
-Entry VMs in one process report prompts to each other by datagrams on
-loopback, idle and with prompts at each of them. Bytes are counted as sent by
-one of them, without the headers of the network.
+Entry VMs in one process exchange load reports by datagrams on loopback, idle
+and with prompts at each of them. The bytes sent by one of them are counted,
+without the network's headers.
 """
 
 import pathlib
@@ -20,7 +20,7 @@
 from carawayward.forwarding import load_reports
 from tests.common import loopback
 
-# Up to the most that one datagram goes to, and past it.
+# Numbers of entry VMs, up to and beyond the peers that one datagram goes to.
 SIZES = (3, 9, 17, 33)
 PROMPTS_A_SECOND = 10.0
 HEAD_MS = 300.0
@@ -34,17 +34,17 @@
 
 
 @attrs.define
-class Members:
-    """The topic of members, in memory."""
+class InMemoryTopic:
+    """The members topic, in memory."""
 
     records: dict[str, keyed_log.Record] = attrs.field(factory=dict)
 
     async def read_newest(self) -> keyed_log.Batch:
-        """All that have added themselves."""
+        """All members added so far."""
         return keyed_log.Batch(list(self.records.values()), len(self.records))
 
     async def read(self, start: int, wait_ms: float) -> keyed_log.Batch:
-        """Nothing has been added since; there is nothing to wait for."""
+        """No records; waits for none."""
         return keyed_log.Batch([], len(self.records))
 
     async def append(
@@ -52,27 +52,27 @@
         records: typing.Sequence[keyed_log.Record],
         end: int | None = None,
     ) -> int:
-        """Add members."""
+        """Add members' records."""
         self.records |= {record.key: record for record in records}
         return len(self.records)
 
 
 @attrs.define
 class CountingSocket:
-    """A socket that counts what goes out."""
+    """A socket that counts the bytes sent."""
 
     socket: socket.socket
     sent_bytes: int = 0
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> int:
-        """Send and count."""
+        """Send the datagram and count its bytes."""
         self.sent_bytes += len(data)
         return self.socket.sendto(data, address)
 
 
-def make_controllers(count: int) -> list[load_reports.LoadReporter]:
-    """Entry VMs that find each other in one topic."""
-    members = Members()
+def make_reporters(count: int) -> list[load_reports.LoadReporter]:
+    """Reporters that discover each other through one topic."""
+    members = InMemoryTopic()
     return [
         load_reports.LoadReporter(
             board_module.ForwardingBoard(
@@ -88,53 +88,55 @@
     ]
 
 
-async def serve_prompts(made: load_reports.LoadReporter, seed: int) -> None:
-    """Take prompts at random moments, as callers send them."""
+async def serve_prompts(
+    reporter: load_reports.LoadReporter, seed: int
+) -> None:
+    """Start prompts at random moments, as callers send them."""
     draw = random.Random(seed)
     async with trio.open_nursery() as nursery:
         while True:
             await trio.sleep(draw.expovariate(PROMPTS_A_SECOND))
-            nursery.start_soon(serve_prompt, made, draw)
+            nursery.start_soon(serve_prompt, reporter, draw)
 
 
 async def serve_prompt(
-    made: load_reports.LoadReporter, draw: random.Random
+    reporter: load_reports.LoadReporter, draw: random.Random
 ) -> None:
-    """One prompt: outstanding until its head, a stream until its end."""
+    """Report a prompt, outstanding until its head, and then its stream."""
     engine = f"i-{draw.randrange(ENGINES):010x}"
     parts = [(draw.getrandbits(64), 4_000) for _ in range(PARTS)]
-    made.record_cached(engine, parts)
-    made.record_load(engine, engine_load.Load(8_000.0, 1))
+    reporter.record_cached(engine, parts)
+    reporter.record_load(engine, engine_load.Load(8_000.0, 1))
     await trio.sleep(HEAD_MS / 1000)
-    made.record_load(engine, engine_load.Load(-8_000.0, 0))
+    reporter.record_load(engine, engine_load.Load(-8_000.0, 0))
     await trio.sleep(STREAM_MS / 1000)
-    made.record_load(engine, engine_load.Load(0.0, -1))
+    reporter.record_load(engine, engine_load.Load(0.0, -1))
 
 
 async def count_bytes(count: int, busy: bool) -> float:
-    """Bytes a second that one entry VM of so many sends to the others."""
-    made = make_controllers(count)
+    """The bytes a second that one of ``count`` entry VMs sends."""
+    reporters = make_reporters(count)
     async with trio.open_nursery() as nursery:
-        for each in made:
+        for each in reporters:
             await each.start(nursery)
-        assert made[0]._sender is not None
-        counting = CountingSocket(made[0]._sender)
-        made[0]._sender = typing.cast(typing.Any, counting)
+        assert reporters[0]._send_socket is not None
+        counting = CountingSocket(reporters[0]._send_socket)
+        reporters[0]._send_socket = typing.cast(typing.Any, counting)
         if busy:
-            for seed, each in enumerate(made):
+            for seed, each in enumerate(reporters):
                 nursery.start_soon(serve_prompts, each, seed)
         await trio.sleep(SETTLE_S)
         before = counting.sent_bytes
         await trio.sleep(MEASURED_S)
         sent = counting.sent_bytes - before
         nursery.cancel_scope.cancel()
-    for each in made:
+    for each in reporters:
         await each.close()
     return sent / MEASURED_S
 
 
 def main() -> None:
-    """Measure at each size and write the table."""
+    """Measure each number of entry VMs and write the table."""
     rows = [
         (
             count,
--- a/src/carawayward/forwarding/load_report_messages.py
+++ b/src/carawayward/forwarding/load_report_messages.py
@@ -1,8 +1,8 @@
-"""The datagram of a load report.
+"""Encodes and decodes the datagrams of load reports.
 
-Names go out as numbers of 32 bits, since most datagrams cross between
-failure domains, where bytes are paid for: with six engines and the parts of
-two prompts one has 131 bytes, and 276 with names and each part sent twice.
+Names are sent as 32-bit hashes, since most datagrams cross between failure
+domains, where traffic is billed: a datagram with six engines and the parts of
+two prompts has 131 bytes, against 276 with names and each part sent twice.
 """
 
 import typing
@@ -14,7 +14,7 @@
 from carawayward.decisions import placement
 
 VERSION = 4
-# What bytes of another program raise while they are taken apart.
+# Errors raised while decoding a malformed datagram.
 DECODE_ERRORS = (
     AttributeError,
     EOFError,
@@ -26,21 +26,21 @@
 
 
 def decode(data: bytes) -> list:
-    """A datagram's fields; raises one of DECODE_ERRORS."""
+    """Decode the fields of a datagram; raises one of DECODE_ERRORS."""
     fields = cbor2.loads(data)
     if not isinstance(fields, list) or not fields:
-        raise ValueError("no fields")
+        raise ValueError("datagram has no fields")
     return fields
 
 
 def hash_name(name: str) -> int:
-    """A number of 32 bits that stands for a name."""
+    """The 32-bit hash that is sent in place of a name."""
     return placement.hash_key(name) >> 32
 
 
 @attrs.frozen
 class Sender:
-    """An entry VM as others are to address it; ``address`` is ip:port."""
+    """The identity of an entry VM; ``address`` is the ip:port to send to."""
 
     name: str
     incarnation: str
@@ -49,27 +49,27 @@
 
     @property
     def number(self) -> int:
-        """What stands for it once it has introduced itself."""
+        """The number sent in its place once it has introduced itself."""
         return hash_name(f"{self.name}/{self.incarnation}")
 
     def to_bytes(self) -> bytes:
-        """As a record of the topic of members."""
+        """Encode it as a record of the members topic."""
         return cbor2.dumps(list(attrs.astuple(self)))
 
     @classmethod
     def from_fields(cls, fields: typing.Iterable[object]) -> "Sender":
-        """Read the fields in their order; raises one of DECODE_ERRORS."""
+        """Build from the fields in order; raises one of DECODE_ERRORS."""
         return cls(*(str(each) for each in fields))
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "Sender":
-        """Read a record; raises one of DECODE_ERRORS."""
+        """Decode a record; raises one of DECODE_ERRORS."""
         return cls.from_fields(cbor2.loads(data))
 
 
 @attrs.frozen
 class CachedPart:
-    """A part of a prompt that an engine, given by number, will have read."""
+    """A prompt part that an engine, given by its hash, will have cached."""
 
     engine: int
     key: int
@@ -78,12 +78,12 @@
 
 @attrs.frozen(kw_only=True)
 class Message:
-    """One datagram.
+    """One load report.
 
-    ``sender`` is its number in all but those in which it introduces itself.
-    ``stale`` says that the sender cannot prove its keys, or soon will not be
-    able to. ``loads`` is what it has outstanding, by the engine's number.
-    ``topics`` are values of other controllers.
+    ``sender`` is the sender's number except in reports that introduce it.
+    ``stale`` says that the sender can no longer rely on its keys, or soon
+    will not be able to. ``loads`` is its outstanding work, by the engine's
+    hash. ``topics`` are values of other controllers.
     """
 
     sender: Sender | int
@@ -94,7 +94,7 @@
     topics: typing.Mapping[str, typing.Any]
 
     def to_bytes(self) -> bytes:
-        """The bytes that go out."""
+        """Encode the datagram."""
         sender: list | int
         if isinstance(self.sender, Sender):
             sender = list(attrs.astuple(self.sender))
@@ -119,17 +119,17 @@
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "Message | None":
-        """Read a datagram; None for another version's.
+        """Decode a datagram; None if it is of another version.
 
-        Raises one of DECODE_ERRORS for bytes that are no message.
+        Raises one of DECODE_ERRORS if it is malformed.
         """
         return cls.from_fields(decode(data))
 
     @classmethod
     def from_fields(cls, fields: list) -> "Message | None":
-        """Read a datagram's decoded fields; None for another version's.
+        """Build from decoded fields; None if they are of another version.
 
-        Raises one of DECODE_ERRORS for what is no message.
+        Raises one of DECODE_ERRORS if they are malformed.
         """
         if fields[0] != VERSION:
             return None
--- a/src/carawayward/forwarding/load_reports.py
+++ b/src/carawayward/forwarding/load_reports.py
@@ -1,12 +1,13 @@
-"""Load reports: what this entry VM has outstanding at the engines.
+"""Exchanges load reports between entry VMs.
 
-Datagrams, since a report that comes late is worth nothing: on a connection it
-would wait behind a lost one. A lost datagram is made good by the next.
-Entry VMs find each other in a topic of the store; each that starts adds
-itself and sends a report to those that it finds there.
+A load report says how much work its sender has outstanding at the engines.
+Reports are UDP datagrams because a late report is worthless: on a TCP
+connection it would wait behind a lost segment. The next report makes up for a
+lost one. Entry VMs discover each other through a topic of the store: each adds
+its own record when it starts and sends a report to those that it finds there.
 
-Entry VMs of the same failure domain mostly share its engines and get reports
-at once; those of others get them as often as a budget of bytes allows.
+Entry VMs of the same failure domain mostly share its engines and are sent
+reports at once; those of other domains as often as a byte budget allows.
 """
 
 import socket
@@ -28,32 +29,32 @@
 from carawayward import settings as settings_module
 from carawayward import supervision
 
-# While anything is outstanding it is reported this often, well within the
-# TTL of a report; with nothing outstanding a heartbeat goes out.
-REPEAT_MS = 400.0
+# How often reports are sent while work is outstanding, well within the TTL of
+# a report, and how often while none is, as a heartbeat.
+REPORT_INTERVAL_MS = 400.0
 HEARTBEAT_MS = 1_500.0
-# What a peer reported of itself counts for this long at the least.
+# The least time for which a peer's report about itself is valid.
 PEER_TIMEOUT_MS = 2 * HEARTBEAT_MS
-# So many engines fit into an Ethernet frame beside the parts.
-MAX_ENGINES = 30
+# This many engines fit into an Ethernet frame together with the prompt parts.
+MAX_ENGINES_PER_REPORT = 30
 MAX_DATAGRAM_BYTES = 8_192
 
 
 @attrs.frozen
 class Topic:
-    """What another controller adds to each report.
+    """A value that another controller adds to each report.
 
-    ``describe`` gives a value that CBOR can carry, None for nothing;
-    ``merge`` gets a peer's name with its incarnation, the value, and for how
-    long it counts, in ms.
+    ``describe`` returns a value that CBOR can encode, None for nothing.
+    ``merge`` is called with a peer's ``name/incarnation``, its value, and the
+    time for which the value is valid, in ms.
     """
 
     describe: typing.Callable[[], typing.Any]
     merge: typing.Callable[[str, typing.Any, float], None]
 
 
-# Takes a peer's name and the decoded fields of its datagram; raises one of
-# ``load_report_messages.DECODE_ERRORS`` for what cannot be read.
+# Called with a peer's name and the decoded fields of its datagram; raises one
+# of ``load_report_messages.DECODE_ERRORS`` if they are malformed.
 Handler = typing.Callable[[str, list], None]
 
 
@@ -66,7 +67,7 @@
     members: keyed_log.KeyedLog
     address: str
     loads: engine_load.EngineLoads
-    memory_tokens: typing.Callable[[str], int]
+    get_memory_tokens: typing.Callable[[str], int]
     directory: peer_directory.PeerDirectory = attrs.field(init=False)
     registration: registration_module.Registration = attrs.field(init=False)
     engine_names: dict[int, str] = attrs.field(factory=dict)
@@ -79,7 +80,7 @@
     )
     joined: trio.Event = attrs.field(factory=trio.Event)
     _socket: typing.Any = None
-    _sender: socket.socket | None = None
+    _send_socket: socket.socket | None = None
 
     def __attrs_post_init__(self) -> None:
         self.directory = peer_directory.PeerDirectory(
@@ -98,22 +99,22 @@
 
     @property
     def peers(self) -> dict[str, report_channels.Peer]:
-        """The other entry VMs that are known, by name."""
+        """The other known entry VMs, by name."""
         return self.directory.peers
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to listen and to report."""
-        sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        sender.setblocking(False)
-        sender.bind(settings_module.split_address(self.address))
-        self._sender = sender
-        self._socket = trio.socket.from_stdlib_socket(sender)
+        """Start listening and sending reports."""
+        udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        udp_socket.setblocking(False)
+        udp_socket.bind(settings_module.split_address(self.address))
+        self._send_socket = udp_socket
+        self._socket = trio.socket.from_stdlib_socket(udp_socket)
         await self.registration.start(nursery)
         for task in (self._listen, self._join):
             nursery.start_soon(supervision.keep_running, task, ())
         for channel in self.channels:
             nursery.start_soon(
-                supervision.keep_running, self._send_forever, (channel,)
+                supervision.keep_running, self._send_reports, (channel,)
             )
 
     async def close(self) -> None:
@@ -122,45 +123,49 @@
             self._socket.close()
 
     def add_topic(self, name: str, topic: Topic) -> None:
-        """Tell and take a further value with each datagram."""
+        """Send a further value with each report, and merge those of peers."""
         self.topics[name] = topic
 
     def add_handler(self, kind: int, handler: Handler) -> None:
-        """Take datagrams of known peers whose first element is ``kind``."""
+        """Handle datagrams of known peers whose first element is ``kind``."""
         self.handlers[kind] = handler
 
     def send(self, name: str, data: bytes) -> None:
-        """Send a peer a datagram; lost if it cannot go out at once."""
+        """Send a peer a datagram; it is dropped if sending would block."""
         peer = self.peers.get(name)
-        if peer is None or self._sender is None:
+        if peer is None or self._send_socket is None:
             return
         try:
-            self._sender.sendto(data, peer.address)
+            self._send_socket.sendto(data, peer.address)
         except OSError:
-            # A full buffer, or a peer that is gone; both are as a datagram
-            # that was lost on its way, which the sender makes good.
+            # The send buffer is full or the peer is gone. Both are handled
+            # like a datagram lost in the network: the next one makes up for
+            # it.
             return
 
     def list_delegate_candidates(self) -> list[str]:
-        """Peers of this failure domain that say that they reach the store.
+        """Peers of this failure domain that last reported a fresh table.
 
-        However long ago they said so: with many peers their reports come
-        seldom, and whoever relies on one finds out itself if it has gone.
+        The age of that report does not matter: with many peers reports are
+        infrequent, and a client detects a failed delegate by itself.
         """
         return [
             peer.name
             for peer in self.peers.values()
-            if peer.near and not peer.stale
+            if peer.local and not peer.stale
         ]
 
     def list_members(self) -> list[str]:
-        """All entry VMs that are known, with this one."""
+        """The names of all known entry VMs, including this one."""
         return [self.board.name, *self.peers]
 
     def list_domain_members(
         self, failure_domain: str
     ) -> typing.Collection[str] | None:
-        """The entry VMs of a failure domain, or all; None before joining."""
+        """The entry VMs of a failure domain; None before joining.
+
+        All known entry VMs if the failure domain has none.
+        """
         if not self.joined.is_set():
             return None
         return (
@@ -168,26 +173,26 @@
         )
 
     def record_load(self, engine: str, change: engine_load.Load) -> None:
-        """Record a change of the own outstanding work, and report it.
+        """Record a change of this entry VM's outstanding work, and report it.
 
-        The end of a stream alone changes little for others, and goes out with
-        the next report.
+        The end of a stream alone matters little to peers, and is sent with
+        the next scheduled report.
         """
         engine_load.add_own(self.loads, engine, change)
         if change.weight:
-            self._wake()
+            self._trigger_reports()
 
-    def _wake(self) -> None:
+    def _trigger_reports(self) -> None:
         for channel in self.channels:
             channel.changed.set()
 
     def record_cached(
         self, engine: str, parts: typing.Iterable[tuple[int, int]]
     ) -> None:
-        """Record what an engine will have read, and report it."""
+        """Record prompt parts an engine will have cached, and report them."""
         parts = list(parts)
         engine_load.record_cached(
-            self.loads, engine, parts, self.memory_tokens(engine)
+            self.loads, engine, parts, self.get_memory_tokens(engine)
         )
         number = load_report_messages.hash_name(engine)
         cached = [
@@ -196,14 +201,14 @@
         ]
         for channel in self.channels:
             channel.add_parts(cached)
-        self._wake()
+        self._trigger_reports()
 
     def count_members(self) -> int:
-        """Entry VMs that are known, this one among them."""
+        """The number of known entry VMs, including this one."""
         return 1 + len(self.peers)
 
     def count_stale_peers(self) -> tuple[int, int]:
-        """Other entry VMs known, and those that said lately they are stale."""
+        """The numbers of known peers, and of those recently reported stale."""
         now_ms = self.clock.now_ms()
         stale = sum(
             peer.stale
@@ -214,11 +219,12 @@
         return len(self.peers), stale
 
     async def _join(self) -> None:
-        """Add this entry VM to the topic and greet those in it.
+        """Add this entry VM to the topic and announce it to the members.
 
-        First add, then read: of two that start at the same moment at least
-        one then finds the other. The other way round, entry VMs that were
-        started together read an empty topic and never met.
+        The record is added before the topic is read, so that of two entry VMs
+        that start at the same moment at least one finds the other. In the
+        reverse order, entry VMs that were started together read an empty
+        topic and never discovered each other.
         """
         await self.registration.add()
         while True:
@@ -227,27 +233,27 @@
                 break
             except errors.PlatformUnavailable:
                 await self.clock.sleep(registration_module.RETRY_MS)
-        for found in batch.records:
-            self._add_member(found)
-        self._introduce()
+        for record in batch.records:
+            self._add_peer_from_record(record)
+        self._announce_to_domain()
         self.joined.set()
-        self._wake()
+        self._trigger_reports()
 
-    def _introduce(self) -> None:
+    def _announce_to_domain(self) -> None:
         """Send a report to all peers of this failure domain.
 
-        They drop datagrams of whom they do not know. With many peers reports
-        go out in turn, and queries to a delegate would stay unanswered until
-        its turn has come.
+        Peers drop datagrams of unknown senders. With many peers reports are
+        sent in rotation, so queries to a delegate would stay unanswered until
+        the rotation has reached it.
         """
-        (near,) = (each for each in self.channels if each.near)
-        near.introduced_ms = board_module.NEVER
-        data = self._write(near)
+        (channel,) = (each for each in self.channels if each.local)
+        channel.introduced_at_ms = board_module.NEVER
+        data = self._encode_report(channel)
         for peer in list(self.peers.values()):
-            if peer.near:
+            if peer.local:
                 self.send(peer.name, data)
 
-    def _add_member(self, record: keyed_log.Record) -> None:
+    def _add_peer_from_record(self, record: keyed_log.Record) -> None:
         try:
             self._add_peer(
                 load_report_messages.Sender.from_bytes(record.value or b"")
@@ -263,44 +269,44 @@
     def _add_peer(self, sender: load_report_messages.Sender) -> None:
         if self.directory.add(sender, self.clock.now_ms()):
             for channel in self.channels:
-                channel.introduced_ms = board_module.NEVER
+                channel.introduced_at_ms = board_module.NEVER
 
-    def _find_sender(
+    def _resolve_sender(
         self, sender: load_report_messages.Sender | int
     ) -> report_channels.Peer | None:
-        """The peer that a datagram is from; None until it says its name."""
+        """The peer that sent a datagram; None before its introduction."""
         if isinstance(sender, int):
             return self.directory.get_by_number(sender)
         self._add_peer(sender)
         return self.peers.get(sender.name)
 
-    async def _send_forever(self, channel: report_channels.Channel) -> None:
+    async def _send_reports(self, channel: report_channels.Channel) -> None:
         while True:
-            pause_ms = REPEAT_MS if self.loads.own else HEARTBEAT_MS
+            pause_ms = REPORT_INTERVAL_MS if self.loads.own else HEARTBEAT_MS
             with trio.move_on_after(pause_ms / 1000):
                 await channel.changed.wait()
             channel.changed = trio.Event()
-            sent_bytes = self._send_next(channel)
-            await self.clock.sleep(channel.find_pause_ms(sent_bytes))
+            sent_bytes = self._send_report(channel)
+            await self.clock.sleep(channel.compute_pause_ms(sent_bytes))
 
-    def _send_next(self, channel: report_channels.Channel) -> int:
-        """Send one datagram to the peers whose turn it is; return bytes."""
+    def _send_report(self, channel: report_channels.Channel) -> int:
+        """Send a report to the next peers of a channel; return its bytes."""
         self.directory.remove_silent(self.clock.now_ms())
         peers = channel.choose_peers(self.peers.values())
         if not peers:
             return 0
-        data = self._write(channel)
+        data = self._encode_report(channel)
         for peer in peers:
             self.send(peer.name, data)
         return len(data) * len(peers)
 
-    def _write(self, channel: report_channels.Channel) -> bytes:
+    def _encode_report(self, channel: report_channels.Channel) -> bytes:
         self.sequence += 1
-        heaviest = sorted(
+        most_loaded = sorted(
             self.loads.own.items(), key=lambda item: -item[1].weight
         )
         sender = self.directory.own
-        introduces = channel.introduces(self.clock.now_ms())
+        introduces = channel.claim_introduction(self.clock.now_ms())
         message = load_report_messages.Message(
             sender=sender if introduces else sender.number,
             sequence=self.sequence,
@@ -308,14 +314,14 @@
             or not self.board.is_fresh(self.clock.boot_ms()),
             loads={
                 load_report_messages.hash_name(engine): load
-                for engine, load in heaviest[:MAX_ENGINES]
+                for engine, load in most_loaded[:MAX_ENGINES_PER_REPORT]
             },
             parts=channel.take_parts(),
-            topics=self._describe_topics(),
+            topics=self._collect_topics(),
         )
         return message.to_bytes()
 
-    def _describe_topics(self) -> dict[str, typing.Any]:
+    def _collect_topics(self) -> dict[str, typing.Any]:
         values = {
             name: topic.describe() for name, topic in self.topics.items()
         }
@@ -327,22 +333,27 @@
                 data, address = await self._socket.recvfrom(MAX_DATAGRAM_BYTES)
             except ConnectionError:
                 continue
-            self._take(data, address)
+            self._handle_datagram(data, address)
 
-    def _take(
+    def _handle_datagram(
         self, data: bytes, address: report_channels.Address | None = None
     ) -> None:
-        """Take a peer's datagram; one that cannot be read is dropped.
+        """Handle a peer's datagram; a malformed one is logged and dropped.
 
-        Hints say whom they are from; other kinds are known by ``address``.
+        Load reports name their sender; datagrams of other kinds are
+        attributed by their source ``address``.
         """
         try:
             fields = load_report_messages.decode(data)
             handler = self.handlers.get(fields[0])
             if handler is None:
-                self._on_report(fields)
+                self._handle_report(fields)
                 return
-            peer = self.directory.addresses.get(address) if address else None
+            peer = (
+                self.directory.names_by_address.get(address)
+                if address
+                else None
+            )
             if peer is not None:
                 handler(peer, fields)
         except load_report_messages.DECODE_ERRORS as fault:
@@ -350,11 +361,11 @@
                 events.Event.PEER_REFUSED, fault=type(fault).__name__
             )
 
-    def _on_report(self, fields: list) -> None:
+    def _handle_report(self, fields: list) -> None:
         message = load_report_messages.Message.from_fields(fields)
         if message is None:
             return
-        peer = self._find_sender(message.sender)
+        peer = self._resolve_sender(message.sender)
         if peer is None or message.sequence <= peer.sequence:
             return
         self._merge_topics(peer, message)
@@ -374,7 +385,7 @@
         now_ms = self.clock.now_ms()
         peer.record_report(message.sequence, now_ms)
         peer.stale = message.stale
-        names = self._name_engines()
+        names = self._get_engine_names()
         reported = {
             names[number]: load
             for number, load in message.loads.items()
@@ -387,12 +398,12 @@
         for part in message.parts:
             engine = names.get(part.engine)
             if engine is not None:
-                kept = [(part.key, part.tokens)]
-                memory = self.memory_tokens(engine)
-                engine_load.record_cached(self.loads, engine, kept, memory)
+                cached = [(part.key, part.tokens)]
+                memory = self.get_memory_tokens(engine)
+                engine_load.record_cached(self.loads, engine, cached, memory)
 
-    def _name_engines(self) -> dict[int, str]:
-        """The listed endpoints by what stands for their names."""
+    def _get_engine_names(self) -> dict[int, str]:
+        """The names of the listed endpoints, by their hashes."""
         if self.generation != self.board.generation:
             self.generation = self.board.generation
             self.engine_names = {
--- a/src/carawayward/forwarding/peer_directory.py
+++ b/src/carawayward/forwarding/peer_directory.py
@@ -1,4 +1,4 @@
-"""The other entry VMs that this one knows, and whose datagrams it takes."""
+"""The known other entry VMs, whose datagrams are accepted."""
 
 import attrs
 
@@ -6,24 +6,27 @@
 from carawayward.forwarding import report_channels
 from carawayward import settings as settings_module
 
-# A peer without a report for this long gets none any more.
+# A peer that has sent no report for this long is removed.
 REMOVE_AFTER_MS = 30_000.0
 
 
 @attrs.define
 class PeerDirectory:
-    """Peers by name, by the number of their start, and by address.
+    """Peers by name, by sender number, and by address.
 
-    ``own`` is this entry VM, which is no peer of itself.
+    The sender number identifies one incarnation of a peer. ``own`` describes
+    this entry VM, which is not a peer of itself.
     """
 
     own: load_report_messages.Sender
     peers: dict[str, report_channels.Peer] = attrs.field(factory=dict)
-    names: dict[int, str] = attrs.field(factory=dict)
-    addresses: dict[report_channels.Address, str] = attrs.field(factory=dict)
+    names_by_number: dict[int, str] = attrs.field(factory=dict)
+    names_by_address: dict[report_channels.Address, str] = attrs.field(
+        factory=dict
+    )
 
     def add(self, sender: load_report_messages.Sender, now_ms: float) -> bool:
-        """Add a peer, or a new start of it; whether it was not known."""
+        """Add a peer or its new incarnation; whether it was unknown."""
         known = self.peers.get(sender.name)
         if sender.name == self.own.name:
             return False
@@ -37,18 +40,18 @@
             sender.failure_domain == self.own.failure_domain,
             failure_domain=sender.failure_domain,
         )
-        self._forget_number(sender.name)
+        self._remove_number(sender.name)
         self.peers[sender.name] = peer
-        self.names[sender.number] = sender.name
-        self.addresses[peer.address] = sender.name
+        self.names_by_number[sender.number] = sender.name
+        self.names_by_address[peer.address] = sender.name
         return True
 
     def get_by_number(self, number: int) -> report_channels.Peer | None:
-        """The peer whose present start has this number."""
-        return self.peers.get(self.names.get(number, ""))
+        """The peer whose current incarnation has this sender number."""
+        return self.peers.get(self.names_by_number.get(number, ""))
 
     def list_domain(self, failure_domain: str) -> list[str]:
-        """The names of a failure domain's entry VMs, with the own one."""
+        """The names of a failure domain's entry VMs, including this one."""
         names = [
             peer.name
             for peer in self.peers.values()
@@ -59,20 +62,21 @@
         return names
 
     def remove_silent(self, now_ms: float) -> None:
-        """Remove the peers without a report for long."""
+        """Remove the peers that have sent no report for too long."""
         for name, peer in list(self.peers.items()):
             if now_ms - peer.last_seen_ms > REMOVE_AFTER_MS:
                 del self.peers[name]
-                self._forget_number(name)
+                self._remove_number(name)
 
-    def _forget_number(self, name: str) -> None:
-        """Take no more datagrams by a former start's number for this name.
+    def _remove_number(self, name: str) -> None:
+        """Stop accepting datagrams of a former incarnation of this name.
 
-        One that comes late would raise the sequence number past those of the
-        present start, whose datagrams would then count as overtaken.
+        A delayed one would raise the sequence number past those of the
+        current incarnation, whose datagrams would then be dropped as
+        out of order.
         """
-        self.names = {
+        self.names_by_number = {
             number: known
-            for number, known in self.names.items()
+            for number, known in self.names_by_number.items()
             if known != name
         }
--- a/src/carawayward/forwarding/report_channels.py
+++ b/src/carawayward/forwarding/report_channels.py
@@ -1,4 +1,4 @@
-"""Which entry VMs get load reports, how often, and of what."""
+"""Decides which peers are sent load reports, how often, and what about."""
 
 import typing
 
@@ -8,21 +8,23 @@
 from carawayward.forwarding import board as board_module
 from carawayward.forwarding import load_report_messages
 
-# No more often than this: with the ten or so dispatches a second of one entry
-# VM, most go out at once and bursts are grouped.
+# The least time between two datagrams. At about ten dispatches a second on one
+# entry VM, most are reported at once and bursts are batched.
 MIN_PAUSE_MS = 30.0
-# What may go to entry VMs of other failure domains, in bytes a second: bytes
-# between domains are paid for.
+# Byte rate allowed to entry VMs of other failure domains: traffic between
+# domains is billed.
 REMOTE_BYTES_PER_SECOND = 6_000.0
-# How often an entry VM gives its name and address; its number goes out else.
-INTRODUCE_MS = 1_000.0
-# So many parts fit into an Ethernet frame beside the engines.
+# How often a report carries its sender's name and address; the others carry
+# only the sender's number.
+INTRODUCTION_INTERVAL_MS = 1_000.0
+# This many prompt parts fit into an Ethernet frame together with the engines.
 MAX_PARTS = 40
-# Told to at most this many peers; beyond it, a part of the others each time.
+# With more peers than this each datagram goes to the next so many of them.
 MAX_PEERS_PER_DATAGRAM = 16
 
-# With many peers each gets a report in turn only: what one says counts for so
-# many of the intervals at which its reports come, within these bounds.
+# With many peers each is sent reports only in rotation. A report is therefore
+# valid for this multiple of the observed interval between reports, up to the
+# maximum; the interval is smoothed with this gain.
 INTERVALS_PER_TTL = 2.5
 MAX_REPORT_TTL_MS = 10_000.0
 INTERVAL_GAIN = 0.3
@@ -32,88 +34,93 @@
 
 @attrs.define
 class Peer:
-    """Another entry VM; ``stale`` if it cannot prove its keys.
+    """Another entry VM; ``local`` if it is of the same failure domain.
 
-    ``interval_ms`` is how long there is between two of its reports.
+    ``stale`` is set if it reported that its keys may be out of date.
+    ``interval_ms`` is the smoothed interval between two of its reports.
     """
 
     name: str
     address: Address
     incarnation: str
     last_seen_ms: float
-    near: bool = True
+    local: bool = True
     sequence: int = 0
     stale: bool = False
     interval_ms: float = 0.0
     failure_domain: str = ""
 
     def record_report(self, sequence: int, now_ms: float) -> None:
-        """A report has come."""
+        """Update the report interval and the time when it was last seen."""
         if self.sequence:
             gap_ms = now_ms - self.last_seen_ms
             self.interval_ms += INTERVAL_GAIN * (gap_ms - self.interval_ms)
         self.sequence, self.last_seen_ms = sequence, now_ms
 
-    def compute_ttl_ms(self, least_ms: float) -> float:
-        """How long its last report counts."""
+    def compute_ttl_ms(self, min_ttl_ms: float) -> float:
+        """The time for which its last report is valid, in ms."""
         ttl_ms = INTERVALS_PER_TTL * self.interval_ms
-        return max(least_ms, min(ttl_ms, MAX_REPORT_TTL_MS))
+        return max(min_ttl_ms, min(ttl_ms, MAX_REPORT_TTL_MS))
 
 
 @attrs.define(eq=False)
 class Channel:
-    """What peers of this failure domain, or all others, have yet to get.
+    """Pending reports to the peers of this failure domain, or to all others.
 
-    ``turn`` is where among them the next datagram begins. Near, each part is
-    reported twice, so that one lost datagram loses none.
+    ``local`` selects the former. ``rotation`` is the index of the peer at
+    which the next datagram starts. On the local channel each prompt part is
+    reported twice, so that a single lost datagram loses none.
     """
 
-    near: bool
+    local: bool
     changed: trio.Event = attrs.field(factory=trio.Event)
     new_parts: list[load_report_messages.CachedPart] = attrs.field(
         factory=list
     )
-    last_parts: list[load_report_messages.CachedPart] = attrs.field(
+    previous_parts: list[load_report_messages.CachedPart] = attrs.field(
         factory=list
     )
-    introduced_ms: float = board_module.NEVER
-    turn: int = 0
+    introduced_at_ms: float = board_module.NEVER
+    rotation: int = 0
 
     def add_parts(self, parts: list[load_report_messages.CachedPart]) -> None:
-        """Add parts to report; the newest, if there are too many."""
+        """Queue prompt parts to report; only the newest if too many."""
         self.new_parts += parts
         del self.new_parts[:-MAX_PARTS]
 
     def take_parts(self) -> list[load_report_messages.CachedPart]:
-        """The parts for the next datagram."""
-        parts = self.last_parts + self.new_parts
-        self.last_parts = self.new_parts if self.near else []
+        """Return the prompt parts for the next datagram."""
+        parts = self.previous_parts + self.new_parts
+        self.previous_parts = self.new_parts if self.local else []
         self.new_parts = []
         return parts
 
-    def introduces(self, now_ms: float) -> bool:
-        """Whether the next datagram is to name its sender."""
-        if now_ms - self.introduced_ms < INTRODUCE_MS:
+    def claim_introduction(self, now_ms: float) -> bool:
+        """Whether the next datagram has to introduce its sender.
+
+        If so, the introduction counts as sent at ``now_ms``.
+        """
+        if now_ms - self.introduced_at_ms < INTRODUCTION_INTERVAL_MS:
             return False
-        self.introduced_ms = now_ms
+        self.introduced_at_ms = now_ms
         return True
 
     def choose_peers(self, known: typing.Iterable[Peer]) -> list[Peer]:
-        """Those that the next datagram goes to."""
-        peers = [peer for peer in known if peer.near == self.near]
+        """Choose the peers that the next datagram is sent to."""
+        peers = [peer for peer in known if peer.local == self.local]
         if len(peers) <= MAX_PEERS_PER_DATAGRAM:
             return peers
-        self.turn += MAX_PEERS_PER_DATAGRAM
-        start = self.turn % len(peers)
+        self.rotation += MAX_PEERS_PER_DATAGRAM
+        start = self.rotation % len(peers)
         return (peers + peers)[start : start + MAX_PEERS_PER_DATAGRAM]
 
-    def find_pause_ms(self, sent_bytes: int) -> float:
-        """How long to be quiet after so many bytes."""
-        if self.near:
+    def compute_pause_ms(self, sent_bytes: int) -> float:
+        """The pause after having sent ``sent_bytes``, in ms."""
+        if self.local:
             return MIN_PAUSE_MS
         return max(MIN_PAUSE_MS, 1000.0 * sent_bytes / REMOTE_BYTES_PER_SECOND)
 
 
 def make_channels() -> list[Channel]:
-    """One to this failure domain's peers and one to the others."""
-    return [Channel(near=True), Channel(near=False)]
+    """Create the channels to local peers and to those of other domains."""
+    return [Channel(local=True), Channel(local=False)]
