--- a/src/carawayward/forwarding/rollout_rounds.py
+++ b/src/carawayward/forwarding/rollout_rounds.py
@@ -1,8 +1,8 @@
-"""Carries roll-outs out: reads and writes the status that operators see.
+"""Runs roll-outs: reads and writes the statuses that operators see.
 
-What has been decided stands in that status. It is written on condition that
-nothing was written since it was read, so that of two entry VMs that decide
-at once one sees the other's decision.
+Decisions are recorded in these statuses. A write is conditional on there
+having been no other since the statuses were read, so that of two entry VMs
+that decide at the same time one sees the other's decision.
 """
 
 import typing
@@ -21,21 +21,21 @@
 from carawayward.forwarding import rollouts as rollouts_module
 from carawayward import supervision
 
-# Entry VMs that know of no decision write none for so long after the store
-# came back from a copy: those that know of one that was lost write it again.
-RESTORE_MS = 2_000.0
-# How often new orders are looked for, and roll-outs that run gone through.
-TICK_MS = 200.0
-# The same once everything goes to a new version: little time is left then,
-# and it has to be completed before it is over.
-OPENED_TICK_MS = 50.0
+# After the store was restored from a copy, entry VMs that know no decision
+# write none for this long: those that know a lost one write it again first.
+RESTORE_DELAY_MS = 2_000.0
+# How often new orders are looked for and the running roll-outs are processed.
+ROUND_INTERVAL_MS = 200.0
+# The same while a roll-out is at full traffic: little time is left then, and
+# it has to be completed before its duration ends.
+FULL_TRAFFIC_ROUND_INTERVAL_MS = 50.0
 
 
 @attrs.define
-class Intent:
-    """A status that is to be written, and when this entry VM may write it.
+class PendingWrite:
+    """A status to write, and when this entry VM may write it.
 
-    ``subject`` names order and status; times are in ms.
+    ``subject`` identifies the order and the status; times are in ms.
     """
 
     subject: str
@@ -45,13 +45,14 @@
 
 @attrs.define(eq=False)
 class RolloutRounds:
-    """Goes through the roll-outs that run.
-
-    Statuses come from a feed; ``get_end`` is how far it has read, None while
-    it knows of more. ``list_members`` gives the names of all entry VMs.
-    ``latest`` holds the newest status of each service, which was the newest
-    at ``as_of_ms`` on the boot clock. ``restoring`` is set while decisions may
-    be missing in a store that came back from a copy at ``era_ms``.
+    """Processes the running roll-outs in periodic rounds.
+
+    Statuses come from a feed; ``get_end`` returns the position up to which it
+    has read, None while it knows of unread records. ``list_members`` returns
+    the names of all entry VMs. ``latest`` holds the latest status of each
+    service, known to be current at ``as_of_ms`` on the boot clock.
+    ``restoring`` is set while the store, restored from a copy at
+    ``era_began_ms``, may lack decisions.
     """
 
     board: board_module.ForwardingBoard
@@ -66,168 +67,173 @@
     get_end: typing.Callable[[], int | None] = lambda: None
     request_read: typing.Callable[[int], None] = lambda end: None
     latest: dict[str, facts.RolloutStatus] = attrs.field(factory=dict)
-    intents: dict[str, Intent] = attrs.field(factory=dict)
+    pending_writes: dict[str, PendingWrite] = attrs.field(factory=dict)
     as_of_ms: float = board_module.NEVER
     restoring: bool = False
-    era_ms: float = board_module.NEVER
+    era_began_ms: float = board_module.NEVER
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to look for orders."""
-        nursery.start_soon(supervision.keep_running, self._watch, ())
+        """Start the rounds."""
+        nursery.start_soon(supervision.keep_running, self._run_rounds, ())
 
     async def close(self) -> None:
         """Nothing to release; the nursery ends the task."""
 
     def is_needed(self) -> bool:
-        """Whether a roll-out is under way, so that statuses matter."""
+        """Whether statuses have to be read, since a roll-out is running."""
         return self.restoring or any(
             each.running for each in self.rollouts.rollouts.values()
         )
 
     def begin_era(self) -> None:
-        """The store came back from a copy, and may lack statuses."""
+        """The store was restored from a copy, and may lack statuses."""
         self.restoring = bool(self.rollouts.rollouts)
-        self.era_ms = self.clock.boot_ms()
+        self.era_began_ms = self.clock.boot_ms()
 
     def begin_listing(self) -> None:
-        """The statuses that come next are those of another era."""
+        """Prepare for the statuses of another era, which follow."""
         self.begin_era()
         self.latest.clear()
-        self.intents.clear()
+        self.pending_writes.clear()
         for rollout in self.rollouts.rollouts.values():
             if rollout.running:
-                rollout.reported = ""
+                rollout.stored_state = ""
 
     def replace(self, records: list[keyed_log.Record]) -> None:
-        """Take all newest statuses."""
+        """Apply the latest status of every service."""
         for record in records:
             self.apply(record)
 
     def apply(self, record: keyed_log.Record) -> None:
-        """Take one status."""
+        """Apply one status."""
         status = self.decode_status(record)
         if status is not None:
             self.latest[status.service] = status
-            self._take_status(status)
+            self._apply_status(status)
 
     def prove(self, as_of_ms: float) -> None:
-        """Nothing followed the statuses at ``as_of_ms`` on the boot clock."""
+        """The statuses were current at ``as_of_ms`` on the boot clock."""
         self.as_of_ms = max(self.as_of_ms, as_of_ms)
         for rollout in self.rollouts.rollouts.values():
-            self._refresh(rollout)
+            self._update_freshness(rollout)
 
-    async def _watch(self) -> None:
+    async def _run_rounds(self) -> None:
         while True:
             self.rollouts.apply_orders()
             for rollout in list(self.rollouts.rollouts.values()):
                 if rollout.running or self.restoring:
                     await self._step(rollout)
             self._end_restoring()
-            await self.clock.sleep(self._find_tick_ms())
+            await self.clock.sleep(self._get_round_interval_ms())
 
-    def _find_tick_ms(self) -> float:
-        opened = any(
-            each.running and each.opened
+    def _get_round_interval_ms(self) -> float:
+        at_full_traffic = any(
+            each.running and each.at_full_traffic
             for each in self.rollouts.rollouts.values()
         )
-        return OPENED_TICK_MS if opened else TICK_MS
+        return (
+            FULL_TRAFFIC_ROUND_INTERVAL_MS
+            if at_full_traffic
+            else ROUND_INTERVAL_MS
+        )
 
     async def _step(self, rollout: rollout_state.Rollout) -> None:
-        """Judge by what is known, and write what is decided."""
+        """Judge a roll-out by the known counts and write the decision."""
         status = self.latest.get(rollout.order.service)
         if status is not None:
-            self._take_status(status)
-        self._refresh(rollout)
-        self.rollouts.count_streams(rollout)
+            self._apply_status(status)
+        self._update_freshness(rollout)
+        self.rollouts.count_started_streams(rollout)
         self.rollouts.judge(rollout)
-        wanted = self._find_wanted(rollout)
+        state = self._decide_state(rollout)
         end = self.get_end()
-        if wanted is None or end is None or not rollout.known:
+        if state is None or end is None or not rollout.status_known:
             return
-        intent = self._schedule(rollout, wanted)
-        if self.clock.now_ms() < intent.due_ms:
+        pending = self._schedule(rollout, state)
+        if self.clock.now_ms() < pending.due_ms:
             return
-        await self._write(rollout, wanted, end, intent)
+        await self._write(rollout, state, end, pending)
 
     def _schedule(
-        self, rollout: rollout_state.Rollout, wanted: facts.RolloutState
-    ) -> Intent:
-        """When this entry VM is to write ``wanted``, if nobody else has."""
+        self, rollout: rollout_state.Rollout, state: facts.RolloutState
+    ) -> PendingWrite:
+        """Schedule the write of ``state``, unless it is already scheduled."""
         service = rollout.order.service
-        subject = f"{rollout.order}/{wanted.value}"
-        intent = self.intents.get(service)
-        if intent is None or intent.subject != subject:
+        subject = f"{rollout.order}/{state.value}"
+        pending = self.pending_writes.get(service)
+        if pending is None or pending.subject != subject:
             now_ms = self.clock.now_ms()
-            left_ms = (1.0 - rollout.find_part(now_ms)) * (
+            left_ms = (1.0 - rollout.compute_elapsed_part(now_ms)) * (
                 rollout.order.duration_ms
             )
             turn_ms = turns.compute_turn_ms(
                 self.board.name, self.list_members(), subject, left_ms
             )
-            intent = Intent(subject, now_ms + turn_ms)
-            self.intents[service] = intent
-        return intent
+            pending = PendingWrite(subject, now_ms + turn_ms)
+            self.pending_writes[service] = pending
+        return pending
 
     async def _write(
         self,
         rollout: rollout_state.Rollout,
-        wanted: facts.RolloutState,
+        state: facts.RolloutState,
         end: int,
-        intent: Intent,
+        pending: PendingWrite,
     ) -> None:
-        """Write a status unless something was written after ``end``."""
+        """Write a status, provided that the log still ends at ``end``."""
         order = rollout.order
-        status = facts.RolloutStatus(order.service, order.version, wanted)
+        status = facts.RolloutStatus(order.service, order.version, state)
         try:
             await self.statuses.append([self.encode_status(status)], end)
         except keyed_log.Conflict as fault:
-            # Somebody else wrote in between; what, decides the next round.
+            # Another entry VM wrote in between; the next round decides anew.
             self.request_read(fault.end)
         except errors.PlatformUnavailable:
-            # The feeds log outages.
-            intent.failures += 1
-            intent.due_ms = self.clock.now_ms() + turns.compute_backoff_ms(
-                intent.failures, self.board.name
+            # Outages are logged by the feeds.
+            pending.failures += 1
+            pending.due_ms = self.clock.now_ms() + turns.compute_backoff_ms(
+                pending.failures, self.board.name
             )
         else:
             self.latest[order.service] = status
-            self.rollouts.take_state(rollout, wanted)
+            self.rollouts.apply_state(rollout, state)
 
-    def _find_wanted(
+    def _decide_state(
         self, rollout: rollout_state.Rollout
     ) -> facts.RolloutState | None:
-        """The state to write, None if nothing is to be written."""
+        """Decide which state to write; None for none."""
         if not rollout.running:
             return rollout.state if self._is_lost(rollout) else None
-        if self.clock.boot_ms() - self.era_ms < RESTORE_MS:
+        if self.clock.boot_ms() - self.era_began_ms < RESTORE_DELAY_MS:
             return None
         now_ms = self.clock.now_ms()
-        part = rollout.find_part(now_ms)
+        part = rollout.compute_elapsed_part(now_ms)
         if rollout.verdict is canary.Verdict.BAD:
             return facts.RolloutState.ROLLED_BACK
-        under_load = rollout.sum_under_load()
+        since_full_traffic = rollout.sum_since_full_traffic()
         may_complete = canary.may_complete(
             (1.0 - part) * rollout.order.duration_ms,
             rollout.verdict,
-            self.rollouts.find_share(rollout, now_ms),
-            under_load.new,
+            self.rollouts.compute_share(rollout, now_ms),
+            since_full_traffic.new,
             rollout.count_old_in_flight(now_ms),
         )
         if may_complete and canary.is_proven(
-            rollout.sum_tallies(), under_load
+            rollout.sum_tallies(), since_full_traffic
         ):
             return facts.RolloutState.COMPLETED
         if part > 1.0:
-            # Too little speaks for the version; what was there is known.
+            # There is too little evidence for the new version, while the old
+            # one is known to work.
             return facts.RolloutState.ROLLED_BACK
-        if rollout.reported:
+        if rollout.stored_state:
             return None
         return facts.RolloutState.RUNNING
 
     def _is_lost(self, rollout: rollout_state.Rollout) -> bool:
-        """Whether the store lacks a decision that was in force.
+        """Whether the store lacks a decision that had taken effect.
 
-        A decision that it has is never written over.
+        A decision that is in the store is never overwritten.
         """
         order = rollout.order
         status = self.latest.get(order.service)
@@ -236,25 +242,25 @@
         return status.state is facts.RolloutState.RUNNING
 
     def _end_restoring(self) -> None:
-        """Stop once the time to restore is over and nothing is lost."""
-        if self.clock.boot_ms() - self.era_ms < RESTORE_MS:
+        """Clear ``restoring`` when the delay is over and nothing is lost."""
+        if self.clock.boot_ms() - self.era_began_ms < RESTORE_DELAY_MS:
             return
         self.restoring = self.restoring and any(
             not each.running and self._is_lost(each)
             for each in self.rollouts.rollouts.values()
         )
 
-    def _refresh(self, rollout: rollout_state.Rollout) -> None:
-        """Note when the statuses were last known to be the newest."""
+    def _update_freshness(self, rollout: rollout_state.Rollout) -> None:
+        """Record when the statuses were last known to be current."""
         age_ms = self.clock.boot_ms() - self.as_of_ms
         if age_ms < rollout_state.MAX_STATUS_AGE_MS:
-            rollout.known = True
+            rollout.status_known = True
             read_ms = self.clock.now_ms() - age_ms
-            rollout.read_ms = max(rollout.read_ms, read_ms)
+            rollout.status_read_ms = max(rollout.status_read_ms, read_ms)
 
-    def _take_status(self, status: facts.RolloutStatus) -> None:
+    def _apply_status(self, status: facts.RolloutStatus) -> None:
         rollout = self.rollouts.rollouts.get(status.service)
         if rollout is None or rollout.order.version != status.version:
             return
         if rollout.running:
-            self.rollouts.take_state(rollout, status.state)
+            self.rollouts.apply_state(rollout, status.state)
--- a/src/carawayward/forwarding/rollout_state.py
+++ b/src/carawayward/forwarding/rollout_state.py
@@ -1,7 +1,7 @@
-"""What an entry VM knows of one roll-out, and of the runs that it judges by.
+"""The state of a roll-out on one entry VM, and the runs it is judged by.
 
-Its own counts and those that the others last reported stand side by side: a
-peer's report replaces its former one.
+The entry VM's own counts and those last reported by each peer are kept
+separately: a peer's report replaces its previous one.
 """
 
 import typing
@@ -14,8 +14,8 @@
 from carawayward.forwarding import settings
 from carawayward.forwarding import work_items
 
-# Without reports for this long an entry VM may have missed a halt: it lets no
-# session try the new version until it reads the store again.
+# An entry VM whose statuses are older than this may have missed a halt: it
+# sends no session to the new version until it reads the store again.
 MAX_STATUS_AGE_MS = 3_500.0
 
 
@@ -23,8 +23,8 @@
 class VersionChoice:
     """The version that a request goes to.
 
-    ``new`` says whether it is the one that the roll-out brings in; with
-    ``strict`` unset the other one serves where this has no endpoint.
+    ``new`` is set for the version that the roll-out introduces. Unless
+    ``strict`` is set, the other version serves if this one has no endpoint.
     """
 
     rollout: "Rollout"
@@ -36,7 +36,7 @@
 class Run:
     """One attempt on a version, and whether its answer has been counted.
 
-    ``kind`` is its route and model, which decide what is usual.
+    ``kind`` is its route and model, for which a usual latency is kept.
     """
 
     rollout: "Rollout"
@@ -46,31 +46,33 @@
     counted: bool = False
 
     def is_slow(self, answer_ms: float) -> bool:
-        """Whether its answer, or the first token of its stream, took too long.
+        """Whether its answer, or the first token of its stream, was too slow.
 
-        A first token is held against what was predicted for it: an engine
-        that is new reads whole prompts of which others keep the shared parts.
+        A first token is compared with its prediction: a new engine has to
+        read whole prompts whose shared parts other engines have cached.
         """
         progress = self.progress
         if progress.predicted_ms is not None:
             return canary.is_ttft_slow(answer_ms, progress.predicted_ms)
-        return self._find_usual().is_slow(answer_ms)
+        return self._get_usual().is_slow(answer_ms)
 
-    def learn(self, answer_ms: float) -> None:
-        """Take a good answer of the old version for usual."""
+    def observe_latency(self, answer_ms: float) -> None:
+        """Learn the usual latency from a good answer of the old version."""
         if not self.new and self.progress.predicted_ms is None:
-            self._find_usual().learn(answer_ms)
+            self._get_usual().learn(answer_ms)
 
-    def _find_usual(self) -> canary.Usual:
-        return self.rollout.usual.setdefault(self.kind, canary.Usual())
+    def _get_usual(self) -> canary.Usual:
+        return self.rollout.usual_latencies.setdefault(
+            self.kind, canary.Usual()
+        )
 
 
 @attrs.frozen(kw_only=True)
 class PeerCounts:
-    """What another entry VM last reported of a roll-out.
+    """The counts that a peer last reported for a roll-out.
 
-    It goes on to count but for ``old_in_flight``: after ``expires_ms`` its
-    sender may have failed, and what it ran has ended.
+    They stay valid except for ``old_in_flight``: after ``expires_ms`` the
+    peer may have failed, and its runs have ended.
     """
 
     expires_ms: float
@@ -82,72 +84,79 @@
 
 @attrs.define(eq=False)
 class Rollout:
-    """What this entry VM knows of one order.
+    """The state of one ordered roll-out on this entry VM.
 
-    ``opening`` is what was counted when everything went to the new version.
+    ``status_known`` is set once the stored statuses have been read, which were
+    the newest at ``status_read_ms``. ``stored_state`` is the state in the
+    store, empty if none was read. ``at_full_traffic`` is set while all
+    sessions go to the new version; ``tally_before_full_traffic`` holds the
+    counts at the switch.
     """
 
     order: facts.RolloutOrder
     began_ms: float
     state: facts.RolloutState = facts.RolloutState.RUNNING
-    known: bool = False
+    status_known: bool = False
     verdict: canary.Verdict = canary.Verdict.UNKNOWN
-    read_ms: float = board_module.NEVER
-    reported: str = ""
+    status_read_ms: float = board_module.NEVER
+    stored_state: str = ""
     old_in_flight: int = 0
     sent: int = 0
     sent_new: int = 0
-    opened: bool = False
-    opening: canary.Tally = canary.Tally()
+    at_full_traffic: bool = False
+    tally_before_full_traffic: canary.Tally = canary.Tally()
     tallies: dict[str, canary.Tally] = attrs.field(factory=dict)
-    others: dict[str, PeerCounts] = attrs.field(factory=dict)
-    usual: dict[tuple[str, str], canary.Usual] = attrs.field(factory=dict)
+    peer_counts: dict[str, PeerCounts] = attrs.field(factory=dict)
+    usual_latencies: dict[tuple[str, str], canary.Usual] = attrs.field(
+        factory=dict
+    )
     runs: set[Run] = attrs.field(factory=set)
 
     @property
     def running(self) -> bool:
-        """Whether nothing has been decided yet."""
+        """Whether the roll-out is still undecided."""
         return self.state is facts.RolloutState.RUNNING
 
-    def find_part(self, now_ms: float) -> float:
-        """The part of the time given that has passed."""
+    def compute_elapsed_part(self, now_ms: float) -> float:
+        """The elapsed part of the roll-out's duration; above 1 when over."""
         return (now_ms - self.began_ms) / max(1.0, self.order.duration_ms)
 
     def count_old_in_flight(self, now_ms: float) -> int:
-        """Runs on the old version, at all entry VMs that are alive."""
+        """The runs on the old version at all live entry VMs."""
         return self.old_in_flight + sum(
             each.old_in_flight
-            for each in self.others.values()
+            for each in self.peer_counts.values()
             if now_ms < each.expires_ms
         )
 
     def sum_exposure(self, bounds: settings.Bounds) -> canary.Exposure:
-        """What has been sent so far, against what may meet a bad version."""
-        others = self.others.values()
+        """The requests sent so far, and how many may meet a bad version."""
+        peer_counts = self.peer_counts.values()
         return canary.Exposure(
             share=bounds.exposure_share,
             slack=bounds.exposure_slack,
-            sent=self.sent + sum(each.sent for each in others),
-            sent_new=self.sent_new + sum(each.sent_new for each in others),
+            sent=self.sent + sum(each.sent for each in peer_counts),
+            sent_new=self.sent_new
+            + sum(each.sent_new for each in peer_counts),
         )
 
-    def sum_routes(self) -> canary.Tally:
-        """All counts that are known, of all routes together."""
+    def sum_all_routes(self) -> canary.Tally:
+        """The known counts of all entry VMs, summed over all routes."""
         return sum(self.sum_tallies().values(), canary.Tally())
 
-    def sum_under_load(self) -> canary.Tally:
-        """Answers of the new version since everything goes there."""
-        total = self.sum_routes()
+    def sum_since_full_traffic(self) -> canary.Tally:
+        """The counts, with only new-version answers since full traffic."""
+        total = self.sum_all_routes()
         return attrs.evolve(
             total,
-            new=total.new - self.opening.new,
-            new_bad=total.new_bad - self.opening.new_bad,
+            new=total.new - self.tally_before_full_traffic.new,
+            new_bad=total.new_bad - self.tally_before_full_traffic.new_bad,
         )
 
     def sum_tallies(self) -> dict[str, canary.Tally]:
-        """All counts that are known, by route."""
+        """The known counts of all entry VMs, by route."""
         merged = dict(self.tallies)
-        for each in self.others.values():
+        for each in self.peer_counts.values():
             for route, tally in each.tallies.items():
                 merged[route] = merged.get(route, canary.Tally()) + tally
         return merged
--- a/src/carawayward/forwarding/rollouts.py
+++ b/src/carawayward/forwarding/rollouts.py
@@ -1,7 +1,7 @@
-"""Which version of a service a request goes to, and how its answers count.
+"""Chooses a service version for each request, and counts the answers.
 
-Every entry VM counts the answers of the new and of the old version and reports
-its counts to the others; each judges the sum by the same rules.
+Every entry VM counts the answers of the new and the old version and reports
+its counts to its peers; each judges the sum by the same rules.
 """
 
 import typing
@@ -18,15 +18,17 @@
 from carawayward.forwarding import version_sessions
 from carawayward.forwarding import work_items
 
-# Statuses by which an endpoint says that it failed, and that the time which
-# it was given is over.
-FAILURES_FROM = 500
-TIME_OVER = 504
+# Statuses of endpoint failures, and the one of an exceeded deadline.
+SERVER_ERRORS_FROM = 500
+GATEWAY_TIMEOUT = 504
 
 
 @attrs.define(eq=False)
 class Rollouts:
-    """Chooses versions by the roll-outs that operators order."""
+    """Chooses versions according to the roll-outs ordered by operators.
+
+    ``rollouts`` holds the latest roll-out of each service.
+    """
 
     board: board_module.ForwardingBoard
     clock: clock_module.Clock
@@ -41,7 +43,7 @@
     def choose_version(
         self, work: work_items.Work
     ) -> rollout_state.VersionChoice | None:
-        """The version for a request; None where no roll-out was ordered."""
+        """Choose a request's version; None if no roll-out was ordered."""
         self.apply_orders()
         service, session = work.service, work.facts.session
         rollout = self.rollouts.get(service)
@@ -52,30 +54,30 @@
             return rollout_state.VersionChoice(rollout, new=True, strict=False)
         if rollout.state is facts.RolloutState.ROLLED_BACK:
             return rollout_state.VersionChoice(rollout, new=False, strict=True)
-        new = self._takes_new(rollout, session, work.facts.request_id)
+        new = self._chooses_new(rollout, session, work.facts.request_id)
         version = rollout.order.version if new else ""
         self.sessions.remember(service, session, version)
         bad = rollout.verdict is canary.Verdict.BAD
         return rollout_state.VersionChoice(
-            rollout, new=new, strict=bad or not rollout.known
+            rollout, new=new, strict=bad or not rollout.status_known
         )
 
-    def _takes_new(
+    def _chooses_new(
         self, rollout: rollout_state.Rollout, session: str, request_id: str
     ) -> bool:
         now_ms = self.clock.now_ms()
-        share = self.find_share(rollout, now_ms)
+        share = self.compute_share(rollout, now_ms)
         if not share:
             return False
         version = rollout.order.version
-        known = self.sessions.find(rollout.order.service, session)
-        if known is not None:
-            new = known == version
-            early = rollout.find_part(now_ms) < canary.TRIAL_PART
+        current = self.sessions.find(rollout.order.service, session)
+        if current is not None:
+            new = current == version
+            early = rollout.compute_elapsed_part(now_ms) < canary.TRIAL_PART
             if new or early:
                 return new
-        if rollout.opened and not canary.has_room(
-            rollout.find_part(now_ms),
+        if rollout.at_full_traffic and not canary.has_room(
+            rollout.compute_elapsed_part(now_ms),
             rollout.order.duration_ms,
             rollout.sum_exposure(self.board.bounds),
         ):
@@ -83,40 +85,43 @@
         draw = placement.hash_key(f"{version}/{session or request_id}")
         return draw < share * 2.0**64
 
-    def find_share(
+    def compute_share(
         self, rollout: rollout_state.Rollout, now_ms: float
     ) -> float:
-        """The share of sessions for the new version just now."""
-        if not rollout.known:
+        """The share of sessions that currently go to the new version."""
+        if not rollout.status_known:
             return 0.0
         if (
-            now_ms - rollout.read_ms > rollout_state.MAX_STATUS_AGE_MS
-            and not rollout.opened
+            now_ms - rollout.status_read_ms > rollout_state.MAX_STATUS_AGE_MS
+            and not rollout.at_full_traffic
         ):
             return 0.0
-        part = rollout.find_part(now_ms)
+        part = rollout.compute_elapsed_part(now_ms)
         exposure = rollout.sum_exposure(self.board.bounds)
         share = canary.find_share(part, rollout.verdict, exposure)
-        # Once everything has gone over nothing goes back but by a halt: a
-        # session would change its version a second time.
-        if rollout.opened and rollout.verdict is not canary.Verdict.BAD:
+        # After the switch to full traffic only a halt moves traffic back:
+        # otherwise sessions would change their version a second time.
+        if (
+            rollout.at_full_traffic
+            and rollout.verdict is not canary.Verdict.BAD
+        ):
             return 1.0
-        if share >= 1.0 and not rollout.opened:
-            rollout.opening = rollout.sum_routes()
-        rollout.opened = share >= 1.0
+        if share >= 1.0 and not rollout.at_full_traffic:
+            rollout.tally_before_full_traffic = rollout.sum_all_routes()
+        rollout.at_full_traffic = share >= 1.0
         return share
 
     def limit_endpoints(
         self, choice: rollout_state.VersionChoice, endpoints: int
     ) -> int:
-        """On how many of the chosen version's endpoints the work goes."""
+        """The number of the chosen version's endpoints to use."""
         if not choice.new or not choice.rollout.running:
             return endpoints
-        share = self.find_share(choice.rollout, self.clock.now_ms())
+        share = self.compute_share(choice.rollout, self.clock.now_ms())
         return canary.count_trial_endpoints(endpoints, share)
 
     def is_on_trial(self, service: str, version: str) -> bool:
-        """Whether a roll-out under way brings in this version."""
+        """Whether a running roll-out introduces this version."""
         rollout = self.rollouts.get(service)
         return (
             rollout is not None
@@ -130,10 +135,11 @@
         work: work_items.Work,
         version: str,
     ) -> rollout_state.Run | None:
-        """A run begins on an endpoint of ``version``.
+        """Record the start of a run on an endpoint of ``version``.
 
-        None where no roll-out was ordered. Where the wanted version had no
-        endpoint the other one serves, so ``version`` decides what it is.
+        Returns None if no roll-out was ordered. ``version`` decides for which
+        version the run counts, because without an endpoint of the chosen
+        version the other one serves.
         """
         if choice is None:
             return None
@@ -152,7 +158,10 @@
     def end(
         self, run: rollout_state.Run | None, work: work_items.Work
     ) -> None:
-        """A run is over, however it ended and whether its caller has left."""
+        """Record the end of a run, whatever its outcome.
+
+        This includes runs whose callers have left.
+        """
         self.sessions.touch(work.service, work.facts.session)
         if run is None:
             return
@@ -160,7 +169,7 @@
         rollout.runs.discard(run)
         if not run.new:
             rollout.old_in_flight -= 1
-        # Without a status the connection broke, which says nothing of the
+        # Without a status the connection broke, which says nothing about the
         # version.
         status = run.progress.status
         if status is not None and not run.counted:
@@ -170,31 +179,31 @@
         answer_ms = run.progress.ttft_ms
         if answer_ms is None:
             answer_ms = self.clock.now_ms() - run.progress.began_ms
-        if status == TIME_OVER:
-            # The endpoint ran out of the time that it was given, which is
-            # the caller's own doing unless it used to be enough.
+        if status == GATEWAY_TIMEOUT:
+            # The endpoint exceeded the deadline that the caller set. That
+            # counts against the version only if the time taken is unusual.
             if run.is_slow(answer_ms):
                 self._count(run, bad=True)
             return
-        if status >= FAILURES_FROM:
+        if status >= SERVER_ERRORS_FROM:
             self._count(run, bad=True)
             return
         self._count_success(run, answer_ms)
 
     def _count_success(self, run: rollout_state.Run, answer_ms: float) -> None:
-        """Count an answer that is no failure; it may still be too slow."""
+        """Count a successful answer, as a bad one if it was too slow."""
         slow = run.is_slow(answer_ms)
         if not slow:
-            run.learn(answer_ms)
+            run.observe_latency(answer_ms)
         self._count(run, bad=slow)
 
-    def count_streams(self, rollout: rollout_state.Rollout) -> None:
-        """Count streams by their first tokens, before they end.
+    def count_started_streams(self, rollout: rollout_state.Rollout) -> None:
+        """Count running streams by the time to their first token.
 
         Long streams outlive the trial: a version that is several times slower
-        would be found out only by its few short answers, and little would be
-        known of a good one when its time is up. A first token that has not
-        come counts for nothing: its endpoint may have died.
+        would be detected only by its few short answers, and there would be
+        little evidence for a good one at the end of the roll-out. Streams
+        without a first token are not counted: their endpoint may have died.
         """
         for run in list(rollout.runs):
             ttft_ms = run.progress.ttft_ms
@@ -204,22 +213,22 @@
     def _count(self, run: rollout_state.Run, bad: bool) -> None:
         run.counted = True
         rollout, route = run.rollout, run.kind[0]
-        one = (
+        answer = (
             canary.Tally(new=1, new_bad=int(bad))
             if run.new
             else canary.Tally(old=1, old_bad=int(bad))
         )
-        known = rollout.tallies.get(route, canary.Tally())
-        rollout.tallies[route] = known + one
+        total = rollout.tallies.get(route, canary.Tally())
+        rollout.tallies[route] = total + answer
         if bad and run.new:
             self.judge(rollout)
 
     def _halt(self, rollout: rollout_state.Rollout) -> None:
-        """Take another entry VM's finding that the version is bad."""
+        """Adopt a peer's verdict that the version is bad."""
         if rollout.verdict is not canary.Verdict.BAD:
-            self._take_verdict(rollout, canary.Verdict.BAD)
+            self._set_verdict(rollout, canary.Verdict.BAD)
 
-    def _take_verdict(
+    def _set_verdict(
         self, rollout: rollout_state.Rollout, verdict: canary.Verdict
     ) -> None:
         rollout.verdict = verdict
@@ -235,15 +244,15 @@
         )
 
     def judge(self, rollout: rollout_state.Rollout) -> None:
-        """Judge by all counts that are known; a halt is never taken back."""
+        """Judge by all known counts; a bad verdict is never revoked."""
         if rollout.verdict is canary.Verdict.BAD or not rollout.running:
             return
         verdict = canary.judge(rollout.sum_tallies())
         if verdict is not rollout.verdict:
-            self._take_verdict(rollout, verdict)
+            self._set_verdict(rollout, verdict)
 
     def apply_orders(self) -> None:
-        """Begin what operators have ordered since the last call."""
+        """Start the roll-outs ordered since the last call."""
         for service, order in self.board.orders.items():
             known = self.rollouts.get(service)
             if known is None or known.order != order:
@@ -251,11 +260,11 @@
                     order, self.clock.now_ms()
                 )
 
-    def take_state(
+    def apply_state(
         self, rollout: rollout_state.Rollout, state: facts.RolloutState
     ) -> None:
-        """Take what has been decided."""
-        rollout.reported = state.value
+        """Adopt a state that is in the store."""
+        rollout.stored_state = state.value
         if state is rollout.state:
             return
         rollout.state = state
@@ -267,7 +276,7 @@
         )
 
     def describe(self) -> list:
-        """What reports to other entry VMs say of the roll-outs under way."""
+        """The running roll-outs, as load reports carry them."""
         now_ms = self.clock.now_ms()
         return [
             [
@@ -287,9 +296,9 @@
         ]
 
     def merge(self, peer: str, value: typing.Any, ttl_ms: float) -> None:
-        """Take what another entry VM reports of its roll-outs.
+        """Merge what a peer reports about its roll-outs.
 
-        Raises ValueError or TypeError for what cannot be read.
+        Raises ValueError or TypeError if it is malformed.
         """
         for (
             service,
@@ -303,7 +312,7 @@
             rollout = self.rollouts.get(service)
             if rollout is None or rollout.order.version != version:
                 continue
-            rollout.others[peer] = rollout_state.PeerCounts(
+            rollout.peer_counts[peer] = rollout_state.PeerCounts(
                 expires_ms=self.clock.now_ms() + ttl_ms,
                 old_in_flight=int(in_flight),
                 sent=int(sent[0]),
@@ -313,11 +322,12 @@
                     for route, counts in tallies.items()
                 },
             )
-            # An entry VM that started amid a roll-out would begin it anew.
+            # An entry VM that started during a roll-out would otherwise
+            # count its duration from its own start.
             began_ms = self.clock.now_ms() - float(age_ms)
             rollout.began_ms = min(rollout.began_ms, began_ms)
-            # Judging goes through the counts of all entry VMs: at hundreds
-            # of them, doing so for each report would take a tenth of a core.
-            # The next round judges.
+            # The next round judges, not each report: judging iterates over
+            # the counts of all entry VMs, which at hundreds of them would
+            # take a tenth of a core if done for every report.
             if halted:
                 self._halt(rollout)
--- a/tests/cover/test_forwarding_versions.py
+++ b/tests/cover/test_forwarding_versions.py
@@ -1,4 +1,4 @@
-"""Decisions about new versions and endpoints out of reach, without I/O."""
+"""Decisions about new versions and unreachable endpoints, without I/O."""
 
 import random
 import types
@@ -22,24 +22,28 @@
 
 
 def test_version_bad_on_one_route_is_found_among_good_ones():
-    """Half of one small route's answers fail, the other routes are well."""
+    """Half of the answers of one small route fail, none of the others."""
     found = judge(a=(60, 0, 600, 3), b=(30, 0, 300, 1), c=(6, 3, 60, 0))
     assert found is canary.Verdict.BAD
 
 
 def test_version_as_bad_as_the_old_one_is_not_halted():
-    """A seventh of a route's answers fail on either version."""
+    """A seventh of one route's answers fail on both versions."""
     found = judge(a=(70, 10, 700, 100), b=(30, 0, 300, 0))
     assert found is canary.Verdict.GOOD
 
 
-def test_version_that_hardly_anybody_met_is_not_called_good():
-    """Night traffic: three answers say nothing."""
+def test_version_with_few_answers_is_not_called_good():
+    """With little traffic, three answers are no evidence."""
     assert judge(a=(3, 0, 400, 0)) is canary.Verdict.UNKNOWN
 
 
-def play_rollout(a_second, duration_s, verdict_at):
-    """What meets the new version; it is found good after some requests."""
+def simulate_rollout(a_second, duration_s, verdict_at):
+    """Simulate a roll-out whose version is judged good after some requests.
+
+    Returns the requests sent, those of them sent to the new version, and the
+    elapsed part at which it got full traffic.
+    """
     sent = new = 0.0
     opened_at = 1.0
     ticks = int(duration_s * 20)
@@ -61,21 +65,21 @@
 
 
 def test_version_that_is_bad_only_under_full_load_meets_few():
-    """A version does well on trial and fails once everybody is there.
+    """A version passes its trial and fails under full traffic.
 
-    It was completed after three quarters of the time: 215 of 843 requests
-    met it, where 156 may. Now all go over so late that what is still to come
-    fits, and yet early enough to complete in time.
+    When the switch came after three quarters of the time, 215 of 843 requests
+    met the bad version, where 156 may. The switch has to come so late that the
+    remaining requests fit into that bound, and early enough to complete.
     """
     for a_second in (2.0, 9.0, 30.0, 200.0):
         for duration_s in (12.0, 16.0, 24.0):
-            sent, new, opened_at = play_rollout(a_second, duration_s, 8)
+            sent, new, opened_at = simulate_rollout(a_second, duration_s, 8)
             assert new <= 0.15 * sent + 30
             assert (1.0 - opened_at) * duration_s >= 1.0
 
 
 def test_share_follows_the_verdict():
-    """Before half of the time nothing but the trial, after a halt nothing."""
+    """Up to half of the time only the trial; after a halt nothing."""
     exposure = canary.Exposure(share=0.9, slack=999, sent=500, sent_new=20)
     good = canary.Verdict.GOOD
     assert canary.find_share(0.4, good, exposure) <= canary.MOST_SHARE
@@ -86,7 +90,7 @@
 
 
 def test_completion_waits_for_what_runs_on_the_old_version():
-    """Its endpoints stop at once; a stream there would be cut."""
+    """The old endpoints stop on completion, which would cut off streams."""
     good = canary.Verdict.GOOD
     assert not canary.may_complete(3_000.0, good, 1.0, 100, 2)
     assert not canary.may_complete(3_000.0, good, 0.1, 100, 0)
@@ -97,7 +101,7 @@
 
 
 def test_time_is_slow_by_what_is_usual_and_by_what_callers_notice():
-    """Answers take 10 ms; 45 ms is slow, and 15 ms after 2 ms is not."""
+    """At a usual 10 ms, 45 ms is slow; at a usual 2 ms, 15 ms is not."""
     usual = canary.Usual()
     assert not usual.is_slow(500.0)
     for _ in range(canary.LEAST_USUAL):
@@ -108,17 +112,17 @@
 
 
 def test_head_is_slow_by_what_its_engine_had_to_read():
-    """A long row is no slowness; nor is what callers hardly notice."""
+    """A long queue does not count as slow, nor does a small delay."""
     assert not canary.is_ttft_slow(2_400.0, 1_000.0)
     assert canary.is_ttft_slow(2_600.0, 1_000.0)
     assert not canary.is_ttft_slow(450.0, 100.0)
 
 
 def test_endpoint_out_of_reach_is_passed_over_by_all_but_one():
-    """A server went dark; it looks idle, since nothing gets there.
+    """An unreachable server looks idle, since it gets no requests.
 
-    Longer each time, up to a bound; while one request tries it again the
-    others pass it over, and one that it takes ends it.
+    It is excluded for longer each time, up to a bound. While one request
+    probes it the others avoid it, and a request that it accepts readmits it.
     """
     book = quarantine.Quarantine()
     quarantine.record_unreached(book, "a", 0.0)
@@ -138,7 +142,7 @@
 
 
 def test_full_endpoint_is_soon_tried_again_and_one_that_stays_full_seldom():
-    """A server that is full for a moment must not stand idle after it."""
+    """A server that was full for a moment must not stay idle afterwards."""
     book = quarantine.Quarantine()
     quarantine.record_declined(book, "a", 0.0)
     assert not quarantine.list_quarantined(book, quarantine.DECLINED_MS)
@@ -154,9 +158,9 @@
 def test_completion_waits_for_answers_under_full_load():
     """A version turned bad a second before it was reported as completed.
 
-    It had done well on trial, and nothing had come of it since everything
-    went there. With nobody left on the old version there was no way back:
-    it got requests for as long as operators took to notice.
+    It had passed its trial, and no answer had arrived since the switch to full
+    traffic. Without the old version a rollback was impossible: the bad one got
+    requests for as long as operators took to notice.
     """
     good = canary.Verdict.GOOD
     enough = canary.SETTLED_ANSWERS
@@ -166,13 +170,13 @@
 
 
 def test_version_is_not_completed_by_one_answer_under_full_load():
-    """A bad version is completed at the last moment, and nothing stops it."""
+    """A bad version was completed at the last moment on a single answer."""
     good = canary.Verdict.GOOD
     assert not canary.may_complete(canary.FORCED_MS, good, 1.0, 1, 0)
 
 
 def test_version_is_not_proven_on_a_route_that_it_hardly_served():
-    """A version is completed that is bad on the one route not tried."""
+    """A completed version was bad on the one route it was not tried on."""
 
     def prove(**routes):
         return canary.is_proven(
@@ -189,19 +193,19 @@
 
 
 def test_version_is_not_proven_by_answers_from_before_the_full_load():
-    """A version is completed that turned bad when everything went there."""
+    """A version was completed that had turned bad under full traffic."""
     by_route = {"a": canary.Tally(new=30, new_bad=2, old=200)}
     for new_bad, proven in ((0, True), (2, False)):
         under_load = canary.Tally(new=5, new_bad=new_bad, old=200)
         assert canary.is_proven(by_route, under_load) is proven
 
 
-def play_late_version(seed, requests, duration_s):
-    """A version that is let in by chance arrivals and never found bad.
+def simulate_late_version(seed, requests, duration_s):
+    """Simulate random arrivals for a version that is never judged bad.
 
-    Returns how many requests met it over what may, how long before the time
-    was up everything went there, and the share of requests that were kept on
-    the old version from then on.
+    Returns by how many the requests sent to the new version exceed the bound,
+    how long before the end the switch to full traffic came, and the share of
+    later requests that were kept on the old version.
     """
     draw = random.Random(seed)
     times_s = sorted(draw.random() * duration_s for _ in range(requests))
@@ -231,11 +235,13 @@
 
 
 def test_version_that_turns_bad_late_is_met_by_no_more_than_may():
-    """98 requests meet a bad version where 93 of 419 may: a chance surge."""
+    """A random surge: 98 requests met a bad version where 93 of 419 may."""
     for requests, duration_s in ((120, 16.0), (420, 18.5), (1_500, 16.0)):
         kept = []
         for seed in range(300):
-            over, left_s, share = play_late_version(seed, requests, duration_s)
+            over, left_s, share = simulate_late_version(
+                seed, requests, duration_s
+            )
             assert over <= 0.0, (requests, seed, over)
             assert left_s > 0.3, (requests, seed, left_s)
             kept.append(share)
@@ -243,7 +249,7 @@
 
 
 def make_rollouts(duration_ms=20_000.0):
-    """The roll-outs of an entry VM, one of them just ordered."""
+    """The roll-outs of an entry VM, with one that was just ordered."""
     clock = clock_module.Clock()
     board = board_module.ForwardingBoard(name="vm", failure_domain="north")
     rollouts = rollouts_module.Rollouts(board, clock)
@@ -255,32 +261,32 @@
 
 
 def test_stream_counts_from_its_first_token_on():
-    """A version is judged by the short answers alone; long ones outlive it."""
+    """Long streams outlive the roll-out, which was judged by short ones."""
     rollouts, rollout = make_rollouts()
     for ttft_ms in (None, 300.0, 9_000.0):
         progress = work_items.Progress(0.0, ttft_ms, predicted_ms=300.0)
         kind = ("review", "large")
         rollout.runs.add(rollout_state.Run(rollout, True, kind, progress))
     for _ in range(2):
-        rollouts.count_streams(rollout)
+        rollouts.count_started_streams(rollout)
         assert rollout.tallies == {"review": canary.Tally(new=2, new_bad=1)}
 
 
 def test_session_on_the_new_version_stays_there_when_room_runs_out():
-    """A session would change its version a second time."""
+    """Otherwise the session would change its version a second time."""
     rollouts, rollout = make_rollouts()
     rollout.began_ms = rollouts.clock.now_ms() - 17_000.0
-    rollout.known = rollout.opened = True
-    rollout.read_ms = rollouts.clock.now_ms()
+    rollout.status_known = rollout.at_full_traffic = True
+    rollout.status_read_ms = rollouts.clock.now_ms()
     rollout.verdict = canary.Verdict.GOOD
     rollout.sent, rollout.sent_new = 400, 91
     rollouts.sessions.remember("desk", "begun", "v2")
-    assert rollouts._takes_new(rollout, "begun", "one")
-    assert not rollouts._takes_new(rollout, "", "two")
+    assert rollouts._chooses_new(rollout, "begun", "one")
+    assert not rollouts._chooses_new(rollout, "", "two")
 
 
 def test_turns_of_many_writers_fit_into_the_time_left():
-    """A roll-out is completed in time, and reported when it is over."""
+    """Otherwise a roll-out would be completed too late."""
     names = [f"vm-{number}" for number in range(410)]
     for left_ms in (100.0, 400.0, 1_000.0):
         waits = [
@@ -296,8 +302,8 @@
 
 
 def observe_first_token(rollouts, model, version):
-    """Let a stream of a version, begun by no roll-out, come to its text."""
-    nothing: typing.Any = types.SimpleNamespace(
+    """Observe the first token of a stream that no roll-out counts."""
+    stub: typing.Any = types.SimpleNamespace(
         get_latency_model=lambda service: model,
         observe=lambda *args, **labels: None,
         observe_ttft=lambda: None,
@@ -306,8 +312,8 @@
     began_ms = rollouts.clock.now_ms() - 1_500.0
     work: typing.Any = types.SimpleNamespace(
         progress=work_items.Progress(began_ms, version=version),
-        reading=nothing,
-        facts=nothing,
+        reading=stub,
+        facts=stub,
         service="desk",
         endpoint="engine",
         model_name="large",
@@ -316,12 +322,12 @@
         confidence=None,
     )
     placing.Placer(
-        rollouts.clock, nothing, rollouts, nothing, nothing, nothing
+        rollouts.clock, stub, rollouts, stub, stub, stub
     ).observe_ttft(work)
 
 
 def test_slow_version_does_not_teach_the_prediction_it_is_judged_by():
-    """A version eight times slower is found good, and completed."""
+    """Otherwise a version eight times slower would be judged good."""
     rollouts, rollout = make_rollouts()
     for version, learns in (("v2", False), ("v1", True)):
         model = engine_load.LatencyModel()
--- a/tests/failures/test_forwarding_rollouts.py
+++ b/tests/failures/test_forwarding_rollouts.py
@@ -188,7 +188,7 @@
             controller = made.find_controller(3)
             await made.wait_for(lambda: "desk" in controller.rollouts.rollouts)
             rollout = controller.rollouts.rollouts["desk"]
-            await made.wait_for(lambda: rollout.known)
+            await made.wait_for(lambda: rollout.status_known)
             began = trio.current_time()
             while trio.current_time() - began < 2.5:
                 for name in names:
--- a/tests/model/rollout_steps.py
+++ b/tests/model/rollout_steps.py
@@ -1,14 +1,14 @@
-"""Entry VMs that decide one roll-out, stepped through in every order.
+"""Model checker for entry VMs that decide one roll-out.
 
-The shipped coroutines run as they are; the store and the clock they wait for
-give the word to a scheduler at each call. It plays every order of calls and,
-up to FAULTS_MOST times, an answer that says nothing: the call was not done,
-was done, or is done at any later moment if its condition still holds. An
-entry VM that is frozen, cut off or killed at a step is one that is not given
-the word again.
+The production coroutines run unchanged; the store that they call yields to a
+scheduler at each call, and the clock stands still. The scheduler explores
+every order of calls and, up to MAX_FAULTS times, a call without an answer: it
+was not executed, was executed, or is executed at any later moment if its
+condition still holds. An entry VM that is frozen, cut off or killed at a step
+is one that is never scheduled again.
 
-A state that was seen before is not gone on from. Bounds: two entry VMs,
-ROUNDS rounds each, FAULTS_MOST faults.
+States that were seen before are not explored again. Bounds: two entry VMs,
+ROUNDS rounds each, MAX_FAULTS faults.
 """
 
 import collections
@@ -26,20 +26,20 @@
 from carawayward.forwarding import rollouts
 
 ROUNDS = 5
-FAULTS_MOST = 4
+MAX_FAULTS = 4
 DURATION_MS = 10_000.0
 ORDER = facts.RolloutOrder(
     service="desk", version="v2", duration_ms=DURATION_MS
 )
 
-# One step: which entry VM gets the word, and how its call ends.
+# One step: the entry VM that is scheduled, and the outcome of its call.
 Step = tuple[str, str]
 FAULTS = {"read": ("fails",), "append": ("fails", "lost", "late")}
 
 
 @attrs.frozen
 class Call:
-    """A call that waits for the scheduler; it answers how it ends."""
+    """A call that waits for the scheduler, which returns its outcome."""
 
     kind: str
 
@@ -49,7 +49,7 @@
 
 @attrs.define
 class Store:
-    """The topic of statuses; ``checks`` is whether conditions are checked."""
+    """The statuses topic; ``checks`` enables the conditions of appends."""
 
     checks: bool = True
     statuses: list[facts.RolloutState] = attrs.field(factory=list)
@@ -85,7 +85,7 @@
         self.statuses.append(state)
 
     def arrive(self) -> None:
-        """The first late append arrives."""
+        """Apply the first delayed append."""
         end, state = self.late.pop(0)
         try:
             self.write(end, state)
@@ -93,8 +93,8 @@
             return
 
 
-class StillClock:
-    """A clock that stands."""
+class FrozenClock:
+    """A clock that stands still."""
 
     def now_ms(self) -> float:
         return 0.0
@@ -114,7 +114,7 @@
 
 @attrs.define(eq=False)
 class EntryVm:
-    """An entry VM with what it believes of the version, and its rounds."""
+    """An entry VM with its verdict on the version, and its rounds."""
 
     store: Store
     rounds: rollout_rounds.RolloutRounds
@@ -125,19 +125,19 @@
     seen: tuple = ()
 
     def begin(self) -> None:
-        """Begin the next round, if there is one."""
+        """Start the next round, if one is left."""
         self.running, self.waiting, self.seen = None, "", ()
         if self.begun == ROUNDS or not self.rollout.running:
             return
         self.begun += 1
-        # Whose turn it is, and pauses after a failure, are left out: each
-        # entry VM may write in every round.
-        self.rounds.intents.clear()
+        # Turns and back-off after failures are left out: each entry VM may
+        # write in every round.
+        self.rounds.pending_writes.clear()
         self.running = self.run_round()
-        self.go_on(None)
+        self.resume(None)
 
     async def run_round(self) -> None:
-        """What the feed of statuses reads, and then the round."""
+        """Read the statuses as the feed does, then run the round."""
         try:
             batch = await self.store.read_newest()
         except errors.PlatformUnavailable:
@@ -147,8 +147,8 @@
         self.rounds.get_end = lambda: batch.end
         await self.rounds._step(self.rollout)
 
-    def go_on(self, answer: str | None) -> None:
-        """Give it the word until its next call."""
+    def resume(self, answer: str | None) -> None:
+        """Run it until its next call."""
         assert self.running is not None
         try:
             call = self.running.send(answer)
@@ -166,14 +166,14 @@
 
 
 def make_entry_vm(belief: str, store: Store) -> EntryVm:
-    """An entry VM that is sure of a version, or not."""
+    """An entry VM that believes the version good, bad, or neither."""
     part, tally = BELIEFS[belief]
-    clock: typing.Any = StillClock()
+    clock: typing.Any = FrozenClock()
     board = board_module.ForwardingBoard(name=belief, failure_domain="north")
     chosen = rollouts.Rollouts(board, clock)
     rollout = rollout_state.Rollout(ORDER, -part * DURATION_MS)
     rollout.tallies["look"] = tally
-    rollout.opened = belief == "good"
+    rollout.at_full_traffic = belief == "good"
     chosen.rollouts["desk"] = rollout
     made = rollout_rounds.RolloutRounds(
         board,
@@ -189,14 +189,14 @@
 
 @attrs.define
 class World:
-    """The store and the entry VMs after some steps."""
+    """The state of the store and the entry VMs."""
 
     store: Store
     vms: dict[str, EntryVm]
     faults: int = 0
 
-    def take(self, step: Step) -> None:
-        """Play one step."""
+    def play(self, step: Step) -> None:
+        """Execute one step."""
         who, how = step
         if who == "store":
             self.store.arrive()
@@ -205,21 +205,21 @@
         self.faults += how != "well"
         if vm.waiting == "read":
             vm.seen += (len(self.store.statuses), how)
-        vm.go_on(how)
+        vm.resume(how)
 
     def list_steps(self) -> list[Step]:
-        """Everything that may happen next."""
+        """All possible next steps."""
         steps = [("store", "arrives")] if self.store.late else []
         for name, vm in self.vms.items():
             if vm.running is None:
                 continue
             steps.append((name, "well"))
-            if self.faults < FAULTS_MOST:
+            if self.faults < MAX_FAULTS:
                 steps += [(name, how) for how in FAULTS[vm.waiting]]
         return steps
 
     def describe(self) -> typing.Hashable:
-        """What tells this state from others."""
+        """A key that identifies this state."""
         return (
             tuple(self.store.statuses),
             tuple(self.store.late),
@@ -230,14 +230,14 @@
                     vm.waiting,
                     vm.seen,
                     vm.rollout.state,
-                    vm.rollout.reported,
+                    vm.rollout.stored_state,
                 )
                 for vm in self.vms.values()
             ),
         )
 
     def find_fault(self) -> str:
-        """What is wrong with this state; empty if nothing is."""
+        """The violated property of this state; empty if none is."""
         final = facts.RolloutState.RUNNING
         for state in self.store.statuses:
             if final is not facts.RolloutState.RUNNING and state is not final:
@@ -252,20 +252,20 @@
 def replay(
     beliefs: typing.Sequence[str], steps: typing.Sequence[Step], checks: bool
 ) -> World:
-    """The world after some steps."""
+    """The state after some steps."""
     store = Store(checks)
     vms = {name: make_entry_vm(name, store) for name in beliefs}
     world = World(store, vms)
     for vm in vms.values():
         vm.begin()
     for step in steps:
-        world.take(step)
+        world.play(step)
     return world
 
 
 @attrs.define
 class Found:
-    """What goes wrong and the steps to it; what was seen on the way."""
+    """The first violation and the steps to it, and what was explored."""
 
     fault: str = ""
     steps: list[Step] = attrs.field(factory=list)
@@ -274,7 +274,7 @@
 
 
 def explore(beliefs: typing.Sequence[str], checks: bool = True) -> Found:
-    """Go through every state, up to the first that is wrong."""
+    """Explore every state, up to the first violation."""
     found = Found()
     seen: set[typing.Hashable] = set()
     waiting: collections.deque[list[Step]] = collections.deque([[]])
--- a/tests/model/test_rollout_steps.py
+++ b/tests/model/test_rollout_steps.py
@@ -1,4 +1,4 @@
-"""A roll-out is decided once, whoever fails at whichever step."""
+"""A roll-out is decided once, whichever entry VM fails at whichever step."""
 
 import itertools
 
@@ -7,9 +7,9 @@
 
 
 def test_nothing_is_written_over_what_was_decided():
-    """Entry VMs that differ decide at once, and the store loses answers.
+    """Entry VMs with different verdicts decide while the store loses answers.
 
-    A final status stays, and nobody believes another one.
+    A final status is kept, and no entry VM adopts another one.
     """
     for pair in itertools.combinations(rollout_steps.BELIEFS, 2):
         found = rollout_steps.explore(pair)
@@ -24,10 +24,10 @@
 
 
 def test_without_the_condition_a_halted_version_is_completed():
-    """One entry VM has read the status before the other wrote it.
+    """One entry VM read the status before the other wrote it.
 
-    Its append goes through; operators see "completed" for a version that was
-    halted, and its old servers stop.
+    Without the condition its append succeeds: operators see "completed" for a
+    version that was halted, and the servers of the old version stop.
     """
     found = rollout_steps.explore(("good", "bad"), checks=False)
     assert "was written over" in found.fault
