--- a/bench/rollout_evidence.py
+++ b/bench/rollout_evidence.py
@@ -132,7 +132,7 @@
 
 
 def main(seeds: int = 200) -> None:
-    """Print the percentage of roll-outs completed, by kind of fault."""
+    """Print how many of 100 roll-outs are completed, by kind of fault."""
     print("per s  for s  usual rate  " + "  ".join(FAULTS))
     for per_s, duration_s in ((2, 12), (3, 20), (9, 18), (22, 18), (60, 24)):
         for usual_rate in (0.02, 0.08):
--- a/src/carawayward/forwarding/assembly.py
+++ b/src/carawayward/forwarding/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts of one entry VM together; nothing runs yet."""
+"""Assembles the components of one entry VM without starting them."""
 
 import attrs
 
@@ -22,8 +22,8 @@
 
 
 @attrs.frozen
-class Placing:
-    """Placement, and the controllers that it learns from."""
+class PlacementParts:
+    """The placer, and the controllers that supply its data."""
 
     placer: placing.Placer
     reporter: load_reports.LoadReporter
@@ -31,13 +31,13 @@
     rounds: rollout_rounds.RolloutRounds
 
 
-def make_placing(
+def make_placement(
     settings: settings_module.ForwardingSettings,
     board: board_module.ForwardingBoard,
     clock: clock_module.Clock,
     ports: ports_module.Ports,
-) -> Placing:
-    """Placement, and the controllers that it learns from."""
+) -> PlacementParts:
+    """The placer, and the controllers that supply its data."""
     fleet = fleet_module.Fleet(board, clock)
     reporter = load_reports.LoadReporter(
         board,
@@ -74,7 +74,7 @@
     placer = placing.Placer(
         clock, fleet, rollouts, reporter, metrics, make_budget
     )
-    return Placing(placer, reporter, freshness, rounds)
+    return PlacementParts(placer, reporter, freshness, rounds)
 
 
 def make_app(
@@ -83,15 +83,16 @@
     ports: ports_module.Ports,
     placer: placing.Placer,
 ) -> app_module.ForwardingApp:
-    """The application behind the callers' listener."""
+    """Create the application behind the callers' listener."""
 
     readiness = readiness_module.Readiness(board, clock, placer.reporter)
 
     def may_send(work: work_items.Work) -> bool:
-        # A run that broke off goes on though keys have lapsed since: its key
-        # was proved when the request came, and as long as the run had lasted
-        # nothing would have stopped it either. In a cut failure domain 13
-        # requests failed in 6 s that had lost their first engine to the cut.
+        # A request whose run broke off may be sent again although keys have
+        # lapsed since: its key was verified on arrival, and an unbroken run
+        # would not have been stopped either. Without this exception 13
+        # requests that had lost their first engine failed within 6 s in a
+        # failure domain that was cut off.
         return not work.customer or work.ran or readiness.is_fresh()
 
     forwarder = exchange.Forwarder(
--- a/src/carawayward/forwarding/daemon.py
+++ b/src/carawayward/forwarding/daemon.py
@@ -1,4 +1,4 @@
-"""Puts the parts of forwarded routes together, starts and stops them."""
+"""The process of an entry VM that serves forwarded routes."""
 
 import gc
 import signal
@@ -22,39 +22,40 @@
 from carawayward import listening
 from carawayward import settings as node_settings
 
-# A balancer that asks once a second and takes two misses sends no new
-# connections after this.
-UNREADY_MS = 2_200.0
-# Streams still open this long before the process is killed are broken off,
-# so that their callers see it and the process ends by itself.
-LAST_CUT_MS = 600.0
-# What is left when the listeners close are connections without a request.
+# A load balancer that probes once a second and removes a target after two
+# failed probes sends no new connections after this time.
+BALANCER_REMOVAL_MS = 2_200.0
+# Streams that are still open this long before the process would be killed are
+# cut off, so that their callers notice and the process exits by itself.
+STREAM_CUTOFF_MS = 600.0
+# Time to close the listeners: only connections without a request are left
+# then.
 LISTENERS_CLOSE_S = 0.3
 LOG_FLUSH_MS = 100.0
 METRICS_HEADERS = [(b"content-type", b"text/plain; version=0.0.4")]
 POLL_MS = 20.0
-# Callers' connections may idle this long before a table says how long, and
-# that is looked up anew this often.
-FIRST_IDLE_MS = 60_000
-LIMITS_MS = 500.0
-# An entry VM without endpoints would refuse all; it waits this long for the
-# first ones to register before it takes work all the same.
-READY_WAIT_MS = 3_000.0
+# The idle time-out of callers' connections before a routing table sets one,
+# and how often the table's limit is applied to the listeners.
+DEFAULT_IDLE_MS = 60_000
+LIMITS_CHECK_MS = 500.0
+# An entry VM without endpoints would refuse every request. It waits this long
+# for the first endpoints before it reports ready regardless.
+ENDPOINTS_WAIT_MS = 3_000.0
 
 
 class Controller(typing.Protocol):
-    """What the daemon starts and closes."""
+    """A component that the daemon starts and closes."""
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin the controller's tasks."""
+        """Start the controller's tasks."""
 
     async def close(self) -> None:
-        """Finish what must not be lost."""
+        """Finish work that must not be lost."""
 
 
 @attrs.define(eq=False)
 class ForwardingDaemon:
-    """One entry VM's process."""
+    """The process of one entry VM."""
 
     settings: settings_module.ForwardingSettings
     board: board_module.ForwardingBoard
@@ -72,10 +73,10 @@
         ports: ports_module.Ports,
         read_bounds: typing.Callable[[], settings_module.Bounds] | None = None,
     ) -> "ForwardingDaemon":
-        """Put the parts together; nothing runs yet.
+        """Assemble the components without starting them.
 
-        ``read_bounds`` reads the settings anew when a signal asks for it;
-        it raises SettingsError.
+        ``read_bounds`` rereads the settings on SIGHUP; it raises
+        SettingsError.
         """
         clock = clock_module.Clock()
         board = board_module.ForwardingBoard(
@@ -83,7 +84,7 @@
             failure_domain=settings.failure_domain,
             bounds=settings.bounds,
         )
-        parts = assembly.make_placing(settings, board, clock, ports)
+        parts = assembly.make_placement(settings, board, clock, ports)
         feeds = feeds_module.make_feeds(
             settings,
             board,
@@ -109,15 +110,15 @@
         )
 
     async def run(self) -> None:
-        """Serve until a signal asks for a planned stop."""
+        """Serve until a signal requests a planned stop."""
         stop = trio.Event()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._take_signals, stop)
+            nursery.start_soon(self._handle_signals, stop)
             await self.serve(stop)
             nursery.cancel_scope.cancel()
 
     async def serve(self, stop: trio.Event) -> None:
-        """Serve until ``stop`` is set, then leave."""
+        """Serve until ``stop`` is set, then drain and shut down."""
         events.log_event(
             events.Event.NODE_STARTED,
             node=self.board.name,
@@ -132,7 +133,7 @@
                 self._start_serving(serving, ended)
                 nursery.start_soon(self._become_ready)
                 await stop.wait()
-                await self._leave()
+                await self._drain()
                 ended.set()
                 serving.cancel_scope.deadline = (
                     trio.current_time() + LISTENERS_CLOSE_S
@@ -143,10 +144,10 @@
         await self.ports.close()
         events.log_event(events.Event.NODE_STOPPED, node=self.board.name)
 
-    async def _take_signals(self, stop: trio.Event) -> None:
-        """Stop on SIGTERM or SIGINT, read the settings anew on SIGHUP.
+    async def _handle_signals(self, stop: trio.Event) -> None:
+        """Stop on SIGTERM or SIGINT, reload the settings on SIGHUP.
 
-        SIGHUP would end a process that does not handle it.
+        Without a handler SIGHUP would terminate the process.
         """
         with trio.open_signal_receiver(
             signal.SIGTERM, signal.SIGINT, signal.SIGHUP
@@ -158,7 +159,7 @@
                 self.reload()
 
     def reload(self) -> None:
-        """Take the bounds of the settings anew; keep them if unreadable."""
+        """Reload the bounds; keep them if the settings are invalid."""
         try:
             self.board.bounds = self.read_bounds()
         except errors.SettingsError as fault:
@@ -167,14 +168,14 @@
         events.log_event(events.Event.SETTINGS_READ, node=self.board.name)
 
     async def _flush_logs(self) -> None:
-        """Write log lines that had to wait for their reader."""
+        """Periodically write log lines buffered for a slow reader."""
         while True:
             await self.clock.sleep(LOG_FLUSH_MS)
             self.flush_logs()
 
     def _start_serving(self, nursery: trio.Nursery, stop: trio.Event) -> None:
         listen = self.settings.listen
-        limits = node_settings.Limits(idle_connection_ms=FIRST_IDLE_MS)
+        limits = node_settings.Limits(idle_connection_ms=DEFAULT_IDLE_MS)
         for app, address in (
             (self.app, listen.callers),
             (self._answer_readiness, listen.readiness),
@@ -187,15 +188,15 @@
             nursery.start_soon(self._follow_limits, config)
 
     async def _follow_limits(self, config: listening.ListenerConfig) -> None:
-        """Keep a listener's idle time to what the table says."""
+        """Keep a listener's idle time-out at the routing table's limit."""
         while True:
             table = self.board.table
             if table is not None:
                 config.keep_alive_timeout = table.limits.idle_ms / 1000
-            await self.clock.sleep(LIMITS_MS)
+            await self.clock.sleep(LIMITS_CHECK_MS)
 
     async def _become_ready(self) -> None:
-        with trio.move_on_after(READY_WAIT_MS / 1000):
+        with trio.move_on_after(ENDPOINTS_WAIT_MS / 1000):
             while self.board.table is None or not self.board.endpoints:
                 await self.clock.sleep(POLL_MS)
         while self.board.table is None:
@@ -225,15 +226,15 @@
         reply = app_module.AsgiReply(send, lambda: False)
         await replies.send_whole(reply, 200, METRICS_HEADERS, page)
 
-    async def _leave(self) -> None:
-        """Wait out the balancer, then until nothing is being served."""
+    async def _drain(self) -> None:
+        """Wait for the load balancer, then for the open requests."""
         self.board.state = board_module.State.LEAVING
         events.log_event(
             events.Event.NODE_LEAVING, open=self.board.open_requests
         )
-        last_s = (self.settings.bounds.grace_ms - LAST_CUT_MS) / 1000
+        last_s = (self.settings.bounds.grace_ms - STREAM_CUTOFF_MS) / 1000
         with trio.move_on_after(last_s):
-            await self.clock.sleep(UNREADY_MS)
+            await self.clock.sleep(BALANCER_REMOVAL_MS)
             self.board.refusing = True
             while self.board.open_requests:
                 await self.clock.sleep(POLL_MS)
--- a/src/carawayward/forwarding/metrics.py
+++ b/src/carawayward/forwarding/metrics.py
@@ -1,6 +1,6 @@
-"""What an entry VM counts and times of forwarded requests, and its page.
+"""Metrics of forwarded requests, and the page that serves them.
 
-The page is in the text format that Prometheus reads: one line a figure.
+The page is in the text format of Prometheus: one line per sample.
 """
 
 import typing
@@ -10,13 +10,13 @@
 
 from carawayward.forwarding import board as board_module
 
-# Milliseconds that are told apart, and how exactly: two digits take 16 kB a
-# histogram.
-HIGHEST_MS = 600_000
+# Range and precision of the latency histograms: two significant digits take
+# 16 kB per histogram.
+MAX_RECORDED_MS = 600_000
 SIGNIFICANT_DIGITS = 2
 QUANTILES = (50.0, 90.0, 99.0)
-# Names come from routes, models and causes; whatever is past these bounds is
-# counted under ``other``, so that many routes cannot use up the memory.
+# Labels come from routes, models and causes. Series beyond these bounds are
+# counted under ``other``, so that many routes cannot exhaust memory.
 MAX_HISTOGRAMS = 40
 MAX_COUNTERS = 400
 OTHER = "other"
@@ -28,36 +28,36 @@
 
 @attrs.define
 class Metrics:
-    """Counters and latencies since the process started."""
+    """Counters and latency histograms since the process started."""
 
     counters: dict[Series, float] = attrs.field(factory=dict)
     latencies: dict[Series, hdr.HdrHistogram] = attrs.field(factory=dict)
 
     def count(self, name: str, **labels: str) -> None:
-        """Add one to a counter."""
+        """Increment a counter."""
         series = (name, tuple(sorted(labels.items())))
         if series not in self.counters and len(self.counters) >= MAX_COUNTERS:
             series = (name, (("label", OTHER),))
         self.counters[series] = self.counters.get(series, 0.0) + 1.0
 
     def observe(self, name: str, value_ms: float, **labels: str) -> None:
-        """Add a time to a histogram."""
+        """Record a latency in a histogram."""
         series = (name, tuple(sorted(labels.items())))
-        found = self.latencies.get(series)
-        if found is None:
+        histogram = self.latencies.get(series)
+        if histogram is None:
             if len(self.latencies) >= MAX_HISTOGRAMS:
                 series = (name, (("label", OTHER),))
-            found = self.latencies.setdefault(
+            histogram = self.latencies.setdefault(
                 series,
-                hdr.HdrHistogram(1, HIGHEST_MS, SIGNIFICANT_DIGITS),
+                hdr.HdrHistogram(1, MAX_RECORDED_MS, SIGNIFICANT_DIGITS),
             )
-        found.record_value(min(max(1, round(value_ms)), HIGHEST_MS))
+        histogram.record_value(min(max(1, round(value_ms)), MAX_RECORDED_MS))
 
 
 def collect_gauges(
     board: board_module.ForwardingBoard, boot_ms: float
 ) -> dict[str, float]:
-    """Figures that rise and fall."""
+    """The current values of the gauges."""
     gauges: dict[str, float] = {
         "open_requests": board.open_requests,
         "endpoints": len(board.endpoints),
@@ -72,23 +72,27 @@
 
 
 def render_page(metrics: Metrics, gauges: typing.Mapping[str, float]) -> bytes:
-    """All figures as text."""
+    """Render all metrics as text."""
     lines = [f"{PREFIX}{name} {value:g}" for name, value in gauges.items()]
     for (name, labels), total in sorted(metrics.counters.items()):
-        lines.append(f"{PREFIX}{name}_total{_join(labels)} {total:g}")
+        lines.append(f"{PREFIX}{name}_total{_format_labels(labels)} {total:g}")
     for (name, labels), histogram in sorted(
         metrics.latencies.items(), key=lambda item: item[0]
     ):
         for quantile in QUANTILES:
-            marked = (*labels, ("quantile", f"{quantile / 100:g}"))
+            quantile_labels = (*labels, ("quantile", f"{quantile / 100:g}"))
             value = histogram.get_value_at_percentile(quantile)
-            lines.append(f"{PREFIX}{name}_ms{_join(marked)} {value}")
+            lines.append(
+                f"{PREFIX}{name}_ms{_format_labels(quantile_labels)} {value}"
+            )
         count = histogram.get_total_count()
-        lines.append(f"{PREFIX}{name}_ms_count{_join(labels)} {count}")
+        lines.append(
+            f"{PREFIX}{name}_ms_count{_format_labels(labels)} {count}"
+        )
     return "\n".join(lines).encode() + b"\n"
 
 
-def _join(labels: Labels) -> str:
+def _format_labels(labels: Labels) -> str:
     if not labels:
         return ""
     pairs = ",".join(f'{name}="{value}"' for name, value in labels)
--- a/src/carawayward/forwarding/ports.py
+++ b/src/carawayward/forwarding/ports.py
@@ -1,4 +1,7 @@
-"""What a deployment brings, so that nothing here knows its words."""
+"""The ports through which a deployment's platform is accessed.
+
+They keep the platform's formats and names out of this package.
+"""
 
 import typing
 
@@ -12,7 +15,7 @@
 
 @attrs.frozen(kw_only=True)
 class Ports:
-    """What a deployment brings: topics, decoders and headers."""
+    """The platform's topics, codecs and headers."""
 
     declarations: keyed_log.KeyedLog
     endpoints: keyed_log.KeyedLog
--- a/src/carawayward/forwarding/settings.py
+++ b/src/carawayward/forwarding/settings.py
@@ -9,7 +9,7 @@
 
 @attrs.frozen(kw_only=True)
 class Listen:
-    """Addresses this entry VM listens on, as ``ip:port``.
+    """Addresses that this entry VM listens on, as ``ip:port``.
 
     Metrics are served if their address is set.
     """
@@ -22,22 +22,22 @@
 
 @attrs.frozen(kw_only=True)
 class Store:
-    """The platform's store; empty address for none."""
+    """The platform's store; an empty address means none."""
 
     address: str
 
 
 @attrs.frozen(kw_only=True)
 class Bounds:
-    """What the deployment promises its users, in ms.
-
-    ``key_lease_ms`` is how long after a key was taken away a request with
-    it may still run; ``grace_ms`` is the time between the signal to stop
-    and the end; ``drain_ms`` is how long an endpoint that leaves still
-    takes work; ``apply_ms`` is within what a new configuration has to be in
-    force, ``evacuate_ms`` an evacuation. A cold endpoint gets ``cold_slack``
-    requests more in a second than ``cold_overshoot`` times what it bears.
-    With ``keys_fail_closed`` unset, keys never lapse.
+    """Guarantees that the deployment gives its users; times in ms.
+
+    ``key_lease_ms`` is the time after the removal of a key during which a
+    request with it may still run; ``grace_ms`` is the time between the signal
+    to stop and the forced end of the process; ``drain_ms`` is how long a
+    leaving endpoint still accepts work. A new configuration has to be in force
+    within ``apply_ms``, an evacuation within ``evacuate_ms``. In one second, a
+    cold endpoint gets at most ``cold_overshoot`` times what it can bear, plus
+    ``cold_slack`` requests. With ``keys_fail_closed`` unset, keys never lapse.
     """
 
     key_lease_ms: int = 5_000
@@ -71,7 +71,7 @@
 
     @classmethod
     def from_config(cls, text: str) -> "ForwardingSettings":
-        """Parse and check YAML text."""
+        """Parse and validate YAML text."""
         error = errors.SettingsError
         data = documents.parse_yaml(text, error)
         settings = documents.structure(cls, data, error)
@@ -90,10 +90,12 @@
             if value < 0:
                 raise error(f"bounds.{field}", value, "write 0 or more")
         if not settings.name or not settings.failure_domain:
-            raise error("name, failure_domain", "", "give this VM both")
+            raise error(
+                "name, failure_domain", "", "set both for this entry VM"
+            )
         return settings
 
     @classmethod
     def from_file(cls, path: str) -> "ForwardingSettings":
-        """Read, parse and check a settings file."""
+        """Read, parse and validate a settings file."""
         return cls.from_config(settings_module.read_settings_file(path))
--- a/src/carawayward/platform/__init__.py
+++ b/src/carawayward/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translates between the users' platform and the product; decides nothing."""
+"""Translates between the platform's formats and the product's types."""
--- a/src/carawayward/platform/entry.py
+++ b/src/carawayward/platform/entry.py
@@ -1,4 +1,4 @@
-"""Starts an entry VM on the users' platform."""
+"""Entry point of an entry VM on the users' platform."""
 
 import os
 import sys
@@ -15,13 +15,13 @@
 from carawayward.platform import store as store_module
 
 SETTINGS_VARIABLE = "CARAWAYWARD_CONFIG"
-BAD_SETTINGS_EXIT = 2
+INVALID_SETTINGS_EXIT_CODE = 2
 
 
 def make_ports(
     settings: settings_module.ForwardingSettings,
 ) -> ports_module.Ports:
-    """The platform's store and headers as the product's ports."""
+    """Create the ports for the platform's store and headers."""
     store = store_module.Store(settings.store.address)
     return ports_module.Ports(
         declarations=store_module.KeyedTopic(store, "keyed.op"),
@@ -38,7 +38,7 @@
 
 
 def main() -> None:
-    """Run until a signal asks for a planned stop."""
+    """Run until a signal requests a planned stop."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
 
     def read_settings() -> settings_module.ForwardingSettings:
@@ -48,12 +48,12 @@
         settings = read_settings()
     except errors.SettingsError as fault:
         print(fault, file=sys.stderr)
-        raise SystemExit(BAD_SETTINGS_EXIT) from None
+        raise SystemExit(INVALID_SETTINGS_EXIT_CODE) from None
     handler = log_output.install(settings.log_level)
     ports = make_ports(settings)
-    made = daemon.ForwardingDaemon.from_config(
+    process = daemon.ForwardingDaemon.from_config(
         settings, ports, lambda: read_settings().bounds
     )
-    made.flush_logs = handler.flush
-    trio.run(made.run)
+    process.flush_logs = handler.flush
+    trio.run(process.run)
     handler.flush()
--- a/src/carawayward/platform/headers.py
+++ b/src/carawayward/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers, read and written."""
+"""Parses and writes the platform's headers."""
 
 import contextlib
 import typing
@@ -10,26 +10,26 @@
 DEADLINE = b"carawayward-deadline-ms"
 KEY = b"carawayward-key"
 MODEL = b"carawayward-model"
-# Tokens of the prompt, then the most tokens of the answer.
-TOKENS = b"carawayward-token-count"
-PREFIX = b"carawayward-prefix-hash"
+# Tokens of the prompt, then the maximum number of tokens of the answer.
+TOKEN_COUNT = b"carawayward-token-count"
+PREFIX_HASH = b"carawayward-prefix-hash"
 SESSION = b"session"
 LAST_EVENT = b"last-event-id"
-SEAL = b"carawayward-server-seal"
-DECLINED = b"carawayward-not-executed"
+SERVER_SEAL = b"carawayward-server-seal"
+NOT_EXECUTED = b"carawayward-not-executed"
 CONFIDENCE = b"carawayward-confidence"
-INSTANCE = b"carawayward-expect-instance"
+EXPECT_INSTANCE = b"carawayward-expect-instance"
 CUSTOMER = b"carawayward-tenant"
-URGENCY = b"carawayward-request-priority"
+REQUEST_PRIORITY = b"carawayward-request-priority"
 
-# Only the system may set these; what a caller sends of them is dropped.
+# Only the system may set these; they are removed from callers' requests.
 SYSTEM_HEADERS = frozenset(
     (
         KEY,
         DEADLINE,
-        INSTANCE,
+        EXPECT_INSTANCE,
         CUSTOMER,
-        URGENCY,
+        REQUEST_PRIORITY,
         b"carawayward-expect-version",
         b"carawayward-pin-ms",
         b"carawayward-hold",
@@ -42,36 +42,36 @@
 
 
 def read_request(headers: facts.Headers) -> facts.RequestFacts:
-    """What a caller's headers say; raise BadRequest if they cannot be read."""
-    found = {name.lower(): value for name, value in headers}
-    request_id = _text(found, REQUEST_ID)
+    """Parse a caller's headers; raise BadRequest if the id is missing."""
+    values = {name.lower(): value for name, value in headers}
+    request_id = _get_text(values, REQUEST_ID)
     if not request_id:
         raise errors.BadRequest(
             REQUEST_ID.decode(), "", "give each attempt an id"
         )
-    tokens = _numbers(found, TOKENS)
+    tokens = _get_numbers(values, TOKEN_COUNT)
     return facts.RequestFacts(
         request_id=request_id,
-        deadline_ms=_number(found, DEADLINE),
-        key=_text(found, KEY),
-        session=_text(found, SESSION),
-        model=_text(found, MODEL),
+        deadline_ms=_get_number(values, DEADLINE),
+        key=_get_text(values, KEY),
+        session=_get_text(values, SESSION),
+        model=_get_text(values, MODEL),
         prompt_tokens=int(tokens[0]) if tokens else 0,
         output_tokens=int(tokens[1]) if len(tokens) > 1 else 0,
-        prompt=_read_prefix(_text(found, PREFIX)),
-        last_event=_whole(found, LAST_EVENT),
+        prompt=_parse_prefix(_get_text(values, PREFIX_HASH)),
+        last_event=_get_integer(values, LAST_EVENT),
     )
 
 
 def find_id(headers: facts.Headers) -> str:
-    """A request's id, empty if it has none."""
-    return _text({n.lower(): v for n, v in headers}, REQUEST_ID)
+    """The id of a request; empty if it has none."""
+    return _get_text({n.lower(): v for n, v in headers}, REQUEST_ID)
 
 
 def write_request(
     headers: facts.Headers, dispatch: facts.Dispatch
 ) -> facts.Headers:
-    """A caller's headers as they go to an endpoint."""
+    """The headers of a request as sent to an endpoint."""
     replaced = set(SYSTEM_HEADERS)
     added: facts.Headers = [
         (b"Carawayward-Deadline-Ms", b"%d" % dispatch.remaining_ms),
@@ -94,15 +94,15 @@
 
 
 def read_answer(status: int, headers: facts.Headers) -> facts.AnswerFacts:
-    """What an endpoint's headers say."""
-    found = {name.lower(): value for name, value in headers}
+    """Parse an endpoint's headers."""
+    values = {name.lower(): value for name, value in headers}
     return facts.AnswerFacts(
-        request_id=_text(found, REQUEST_ID),
-        # A process that has taken over the address of another says so by
-        # this status, and has not run the request.
-        declined=DECLINED in found or status == MISDIRECTED,
-        signed=SEAL in found,
-        confidence=_number(found, CONFIDENCE),
+        request_id=_get_text(values, REQUEST_ID),
+        # A process that has taken over the address of another replies with
+        # this status and does not run the request.
+        declined=NOT_EXECUTED in values or status == MISDIRECTED,
+        signed=SERVER_SEAL in values,
+        confidence=_get_number(values, CONFIDENCE),
     )
 
 
@@ -114,31 +114,37 @@
 )
 
 
-def _text(found: typing.Mapping[bytes, bytes], name: bytes) -> str:
-    return found.get(name, b"").decode("latin-1").strip()
+def _get_text(values: typing.Mapping[bytes, bytes], name: bytes) -> str:
+    return values.get(name, b"").decode("latin-1").strip()
 
 
-def _number(found: typing.Mapping[bytes, bytes], name: bytes) -> float | None:
+def _get_number(
+    values: typing.Mapping[bytes, bytes], name: bytes
+) -> float | None:
     with contextlib.suppress(ValueError):
-        value = float(_text(found, name))
+        value = float(_get_text(values, name))
         return value if value >= 0 else None
     return None
 
 
-def _whole(found: typing.Mapping[bytes, bytes], name: bytes) -> int | None:
-    text = _text(found, name)
+def _get_integer(
+    values: typing.Mapping[bytes, bytes], name: bytes
+) -> int | None:
+    text = _get_text(values, name)
     return int(text) if text.isdecimal() else None
 
 
-def _numbers(found: typing.Mapping[bytes, bytes], name: bytes) -> list[float]:
+def _get_numbers(
+    values: typing.Mapping[bytes, bytes], name: bytes
+) -> list[float]:
     with contextlib.suppress(ValueError):
-        text = _text(found, name)
+        text = _get_text(values, name)
         return [float(part) for part in text.split(",")] if text else []
     return []
 
 
-def _read_prefix(text: str) -> tuple[facts.PromptPart, ...]:
-    """ID:TOKENS entries; one that cannot be read ends the list."""
+def _parse_prefix(text: str) -> tuple[facts.PromptPart, ...]:
+    """Parse ID:TOKENS entries, up to the first malformed one."""
     parts = []
     for entry in text.split(",") if text else ():
         name, _, tokens = entry.strip().partition(":")
--- a/src/carawayward/platform/records.py
+++ b/src/carawayward/platform/records.py
@@ -1,6 +1,6 @@
-"""What operators and servers write into the store, read once.
+"""Decodes and encodes the records in the platform's store.
 
-Records come from other programs: fields may be missing or of another type.
+Records come from other programs: fields may be missing or of the wrong type.
 """
 
 import json
@@ -13,11 +13,11 @@
 from carawayward.forwarding import keyed_log
 from carawayward.forwarding import table
 
-DECLARATION = "config"
+CONFIG_KEY = "config"
 ROLLOUT_PREFIX = "rollout/"
 EVACUATION_PREFIX = "evacuate/"
 
-KINDS = {
+ROUTE_KINDS = {
     "safe": table.RouteKind.IDEMPOTENT,
     "unsafe": table.RouteKind.ONCE,
     "streaming": table.RouteKind.STREAM,
@@ -27,19 +27,19 @@
     "completed": facts.RolloutState.COMPLETED,
     "rolled_back": facts.RolloutState.ROLLED_BACK,
 }
-ROLLOUT_WORDS = {state: word for word, state in ROLLOUT_STATES.items()}
-STATES = {"ready": False, "draining": True}
+ROLLOUT_STATE_NAMES = {state: name for name, state in ROLLOUT_STATES.items()}
+LEAVING_BY_STATE = {"ready": False, "draining": True}
 
-# What a record that cannot be read raises while it is taken apart.
+# Errors raised while decoding a malformed record.
 DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
 
 
 def decode_declaration(
     record: keyed_log.Record,
 ) -> table.RoutingTable | facts.RolloutOrder | facts.Evacuation | None:
-    """A record of the operators' topic; None if it is of no use."""
+    """Decode a record of the operators' topic; None if it is unusable."""
     if record.key.startswith(EVACUATION_PREFIX):
-        # Its body says nothing, so that one that cannot be read counts too.
+        # The body is ignored, so a record with a malformed one counts too.
         domain = record.key.removeprefix(EVACUATION_PREFIX)
         lifted = record.value is None
         return facts.Evacuation(domain, lifted) if domain else None
@@ -47,7 +47,7 @@
         return None
     try:
         body = json.loads(record.value)
-        if record.key == DECLARATION:
+        if record.key == CONFIG_KEY:
             return read_table(body)
         if record.key.startswith(ROLLOUT_PREFIX):
             return read_order(body)
@@ -57,24 +57,24 @@
 
 
 def decode_endpoint(record: keyed_log.Record) -> facts.EndpointEntry | None:
-    """A record of the servers' topic; None if it names no endpoint to use."""
+    """Decode a record of the servers' topic; None if it is unusable."""
     try:
         body = json.loads(record.value or b"")
         born = body.get("born")
         entry = facts.EndpointEntry(
             name=record.key,
-            service=_check(body["service"], str),
-            address=_check(body["address"], str),
-            failure_domain=_check(body.get("zone", ""), str),
-            version=_check(body.get("version", ""), str),
-            slots=_check(body.get("slots", 1), int),
-            leaving=STATES[body["state"]],
+            service=_require_type(body["service"], str),
+            address=_require_type(body["address"], str),
+            failure_domain=_require_type(body.get("zone", ""), str),
+            version=_require_type(body.get("version", ""), str),
+            slots=_require_type(body.get("slots", 1), int),
+            leaving=LEAVING_BY_STATE[body["state"]],
             born=born if type(born) is int else None,
-            cold_ms=_read_number(body.get("coldRemainingMs")),
+            cold_ms=_parse_number(body.get("coldRemainingMs")),
         )
         host, _, port = entry.address.rpartition(":")
         if not host or not 0 < int(port) < 65536:
-            raise ValueError("no address")
+            raise ValueError("invalid address")
         return entry
     except DECODE_ERRORS as fault:
         _log_unreadable(record, fault)
@@ -82,7 +82,7 @@
 
 
 def read_table(body: dict) -> table.RoutingTable:
-    """A configuration as the product's routing table."""
+    """Convert a configuration to a routing table."""
     customers = {}
     tenants = body.get("tenants", [])
     for tenant in tenants:
@@ -91,7 +91,7 @@
             customers[key] = customer
     limits = body.get("limits", {})
     return table.RoutingTable(
-        revision=_check(body["version"], int),
+        revision=_require_type(body["version"], int),
         routes=tuple(read_route(each) for each in body["routes"]),
         services={
             each["name"]: read_service(each) for each in body["services"]
@@ -108,13 +108,13 @@
 
 
 def read_route(body: dict) -> table.Route:
-    """One route; it names one service or splits over several."""
+    """Convert a route, which names one service or splits over several."""
     split = body.get("split") or [{"service": body["service"], "weight": 1}]
     return table.Route(
         name=body["name"],
         host=body["host"],
         path_prefix=body["pathPrefix"],
-        kind=KINDS[body["routeKind"]],
+        kind=ROUTE_KINDS[body["routeKind"]],
         targets=tuple(
             table.Target(each["service"], float(each["weight"]))
             for each in split
@@ -132,14 +132,14 @@
 
 
 def read_service(body: dict) -> table.Service:
-    """One service, with its engines' figures if it has engines."""
+    """Convert a service, with its engine settings if it has engines."""
     engine = body.get("engine")
     return table.Service(
         name=body["name"],
         health_path=body.get("healthPath", ""),
         max_connections=body.get("maxConnections"),
-        cold_start_ms=1000.0 * (_read_number(body.get("coldStartS")) or 0.0),
-        cold_per_s=_read_number(body.get("coldPerS")),
+        cold_start_ms=1000.0 * (_parse_number(body.get("coldStartS")) or 0.0),
+        cold_per_s=_parse_number(body.get("coldPerS")),
         engine=table.Engine(
             slots=engine["slots"],
             cache_tokens=engine["kvCapacityTokens"],
@@ -154,16 +154,16 @@
 
 
 def read_order(body: dict) -> facts.RolloutOrder:
-    """An order to move a service to another version."""
+    """Convert an order to move a service to another version."""
     return facts.RolloutOrder(
-        service=_check(body["service"], str),
-        version=_check(body["target"], str),
+        service=_require_type(body["service"], str),
+        version=_require_type(body["target"], str),
         duration_ms=float(body["durationS"]) * 1000.0,
     )
 
 
 def decode_status(record: keyed_log.Record) -> facts.RolloutStatus | None:
-    """A record of the statuses' topic; None if it is of no use."""
+    """Decode a record of the statuses' topic; None if it is unusable."""
     service = record.key.removeprefix(ROLLOUT_PREFIX)
     if record.value is None or service == record.key:
         return None
@@ -177,21 +177,24 @@
 
 
 def encode_status(status: facts.RolloutStatus) -> keyed_log.Record:
-    """The reverse of ``decode_status``."""
-    body = {"state": ROLLOUT_WORDS[status.state], "target": status.version}
+    """Encode a status; the inverse of ``decode_status``."""
+    body = {
+        "state": ROLLOUT_STATE_NAMES[status.state],
+        "target": status.version,
+    }
     return keyed_log.Record(
         ROLLOUT_PREFIX + status.service, json.dumps(body).encode()
     )
 
 
-def _read_number(value: typing.Any) -> float | None:
-    """A finite number that is not negative; None for anything else."""
+def _parse_number(value: typing.Any) -> float | None:
+    """A finite, non-negative number; None for anything else."""
     if type(value) not in (int, float) or not 0 <= value < math.inf:
         return None
     return float(value)
 
 
-def _check(value: typing.Any, kind: type) -> typing.Any:
+def _require_type(value: typing.Any, kind: type) -> typing.Any:
     if type(value) is not kind:
         raise TypeError(f"{kind.__name__} expected")
     return value
--- a/src/carawayward/platform/store.py
+++ b/src/carawayward/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: its calls, as the product's ``KeyedLog``."""
+"""Client of the platform's store, which implements ``KeyedLog``."""
 
 import base64
 import json
@@ -18,21 +18,21 @@
 from carawayward.gateway import connections
 from carawayward import http_client as http
 
-# An answer usually takes some ms; a store that is slow takes up to 0.7 s. A
-# call without an answer after this has met a silent connection.
+# Calls usually take a few ms, and up to 0.7 s on a slow store. A call without
+# an answer after this time is on a dead connection.
 CALL_TIMEOUT_MS = 1_000.0
-PART = 0
-# Long polls carry nothing for seconds; a connection whose other side has
-# gone silent for good must not hold one up for longer than this, in ms.
-SILENCE_MS = 3_000
-# Rises by one each time the store comes back from a copy of its data.
+PARTITION = 0
+# Long polls are idle for seconds. This bounds, in ms, how long a connection
+# whose other side no longer responds can block one.
+UNRESPONSIVE_TIMEOUT_MS = 3_000
+# Incremented each time the store is restored from a copy of its data.
 ERA_HEADER = b"store-era"
 ERA_PATTERN = re.compile(rb"[0-9]{1,9}")
 
 
 @attrs.frozen
 class Answer:
-    """An answer of the store, and the era of the data that it is from."""
+    """An answer of the store, and the era of its data."""
 
     status: int
     content: bytes
@@ -41,15 +41,15 @@
 
 @attrs.define(eq=False)
 class Store:
-    """Calls of the store at one address.
+    """HTTP client of the store at one address.
 
-    ``era`` is the highest that an answer had; 0 where none says one.
+    ``era`` is the highest era of any answer; 0 if none carried one.
     """
 
     address: str
     era: int = 0
     pool: httpcore.AsyncConnectionPool = attrs.field(
-        factory=lambda: connections.make_pool(8, 8, SILENCE_MS)
+        factory=lambda: connections.make_pool(8, 8, UNRESPONSIVE_TIMEOUT_MS)
     )
 
     async def call(
@@ -59,7 +59,7 @@
         body: bytes = b"",
         wait_ms: float = 0.0,
     ) -> Answer:
-        """Make one call; raise PlatformUnavailable without an answer."""
+        """Make one call; raise PlatformUnavailable if it gets no answer."""
         mark = http.SentMark()
         try:
             with trio.fail_after((CALL_TIMEOUT_MS + wait_ms) / 1000):
@@ -79,15 +79,15 @@
             raise errors.PlatformUnavailable(
                 "store", f"status {response.status}", sent=False
             )
-        era = read_era(response.headers)
+        era = parse_era(response.headers)
         self._record_era(era)
         return Answer(response.status, response.content, era)
 
     def _record_era(self, era: int) -> None:
-        """Note the era of an answer; raise PlatformUnavailable for a former.
+        """Record the era of an answer; raise PlatformUnavailable if it is old.
 
-        An answer of a former era comes from a part of the store that lags:
-        what it says has been lost.
+        An answer of an earlier era comes from a lagging part of the store:
+        its data have been lost.
         """
         if era < self.era:
             raise errors.PlatformUnavailable(
@@ -106,16 +106,16 @@
 
 @attrs.frozen(eq=False)
 class KeyedTopic:
-    """One topic of the store that keeps the newest record of each key."""
+    """A topic of the store that keeps the latest record of each key."""
 
     store: Store
     topic: str
 
     async def read_newest(self) -> keyed_log.Batch:
-        """The newest record of every key.
+        """Read the latest record of every key.
 
-        Pages are read one after the other while the topic grows: reading
-        on from the first page's end brings what a later page has missed.
+        The topic may grow while its pages are read: reading on from the end
+        given by the first page returns what the later pages missed.
         """
         records: list[keyed_log.Record] = []
         end: int | None = None
@@ -123,25 +123,27 @@
         while True:
             answer = await self.store.call(
                 "GET",
-                f"/api/log-newest?topic={self.topic}&part={PART}{after}",
+                f"/api/log-newest?topic={self.topic}&part={PARTITION}{after}",
             )
             body = parse_json(answer)
             if end is None:
                 end = positions.make_position(answer.era, int(body["end"]))
             elif positions.get_era(end) != answer.era:
-                # The pages before are of another history.
+                # The previous pages are of another era.
                 return await self.read_newest()
-            records += [read_item(item, answer.era) for item in body["items"]]
+            records += [
+                decode_item(item, answer.era) for item in body["items"]
+            ]
             if not body["hasMore"] or not body["items"]:
                 return keyed_log.Batch(records, end)
             after = f"&after={body['items'][-1]['key']}"
 
     async def read(self, start: int, wait_ms: float) -> keyed_log.Batch:
-        """Records from ``start`` on."""
+        """Read records from ``start`` on; wait up to ``wait_ms`` for one."""
         offset = positions.get_offset(start)
         answer = await self.store.call(
             "GET",
-            f"/api/log-read?topic={self.topic}&part={PART}&from={offset}"
+            f"/api/log-read?topic={self.topic}&part={PARTITION}&from={offset}"
             f"&waitMs={int(wait_ms)}",
             wait_ms=wait_ms,
         )
@@ -155,7 +157,7 @@
             )
         end, _ = struct.unpack_from(">QQ", answer.content)
         records = [
-            read_record(raw, start + index)
+            decode_record(raw, start + index)
             for index, raw in enumerate(split_records(answer.content[16:]))
         ]
         position = start + len(records)
@@ -167,19 +169,19 @@
         records: typing.Sequence[keyed_log.Record],
         end: int | None = None,
     ) -> int:
-        """Append all or nothing; return the new end."""
+        """Append all records or none; return the new end."""
         condition = ""
         if end is not None:
             if positions.get_era(end) < self.store.era:
-                # The offset is one of a history that is lost.
+                # The offset belongs to an era whose data were lost.
                 raise keyed_log.Conflict(
                     positions.make_position(self.store.era, 0)
                 )
             condition = f"&at={positions.get_offset(end)}"
-        body = b"".join(write_record(record) for record in records)
+        body = b"".join(encode_record(record) for record in records)
         answer = await self.store.call(
             "POST",
-            f"/api/log-append?topic={self.topic}&part={PART}{condition}",
+            f"/api/log-append?topic={self.topic}&part={PARTITION}{condition}",
             body,
         )
         if answer.status == 412:
@@ -191,46 +193,48 @@
             answer.era, int(parse_json(answer)["end"])
         )
         if end is not None and not positions.is_same_era(end, position):
-            # The condition was met by chance, by a history not read yet.
+            # The condition held by chance, in an era that was not read yet.
             raise keyed_log.Conflict(position)
         return position
 
 
-def read_era(headers: facts.Headers) -> int:
+def parse_era(headers: facts.Headers) -> int:
     """The era of an answer; 0 without the header.
 
-    Raises PlatformUnavailable if it is no whole number: what cannot be told
-    from a former history counts for nothing.
+    Raises PlatformUnavailable if it is not a whole number: such an answer
+    could be of an earlier era and must not be used.
     """
     for name, value in headers:
         if name.lower() == ERA_HEADER:
             if not ERA_PATTERN.fullmatch(value):
                 raise errors.PlatformUnavailable(
-                    "store", f"the era is no whole number: {value!r}"
+                    "store", f"era header is not a whole number: {value!r}"
                 )
             return int(value)
     return 0
 
 
 def parse_json(answer: Answer) -> typing.Any:
-    """The body of a good answer; raise PlatformUnavailable for others."""
+    """Decode a 200 answer's body; raise PlatformUnavailable for others."""
     if answer.status != 200:
         raise errors.PlatformUnavailable("store", f"status {answer.status}")
     try:
         return json.loads(answer.content)
     except ValueError as cause:
-        raise errors.PlatformUnavailable("store", "no JSON") from cause
+        raise errors.PlatformUnavailable(
+            "store", "response body is not JSON"
+        ) from cause
 
 
-def read_item(item: dict, era: int) -> keyed_log.Record:
-    """An entry of a list of newest records; values are in base64."""
+def decode_item(item: dict, era: int) -> keyed_log.Record:
+    """Decode an entry of a list of latest records; values are in base64."""
     value = base64.b64decode(item["value"])
     position = positions.make_position(era, int(item["offset"]))
     return keyed_log.Record(item["key"], value or None, position)
 
 
 def split_records(content: bytes) -> typing.Iterator[bytes]:
-    """Records, each behind its length in four bytes."""
+    """Split records, each preceded by its length in four bytes."""
     position = 0
     while position + 4 <= len(content):
         (length,) = struct.unpack_from(">I", content, position)
@@ -239,15 +243,15 @@
         position += length
 
 
-def read_record(raw: bytes, offset: int) -> keyed_log.Record:
-    """A record of a keyed topic: length of the key, key, value."""
+def decode_record(raw: bytes, offset: int) -> keyed_log.Record:
+    """Decode a record of a keyed topic: length of the key, key, value."""
     size = raw[0] if raw else 0
     key = raw[1 : 1 + size].decode("utf-8", "replace")
     return keyed_log.Record(key, raw[1 + size :] or None, offset)
 
 
-def write_record(record: keyed_log.Record) -> bytes:
-    """The reverse of ``read_record``, behind its length."""
+def encode_record(record: keyed_log.Record) -> bytes:
+    """Encode a record, preceded by its length; see ``decode_record``."""
     key = record.key.encode()
     raw = bytes((len(key),)) + key + (record.value or b"")
     return struct.pack(">I", len(raw)) + raw
--- a/tests/common/forwarding.py
+++ b/tests/common/forwarding.py
@@ -1,4 +1,4 @@
-"""An entry VM with forwarded routes on loopback, with store and servers."""
+"""Entry VMs with forwarded routes on loopback, a store and servers."""
 
 import contextlib
 import json
@@ -106,7 +106,7 @@
 
 @attrs.frozen
 class Answer:
-    """What a caller got."""
+    """The answer that a caller received."""
 
     status: int
     headers: dict[str, str]
@@ -115,7 +115,7 @@
 
 @attrs.define(eq=False)
 class Forwarding:
-    """What a test has in hand."""
+    """A running deployment: store, servers and entry VMs."""
 
     store: store_module.Store
     backends: dict[str, backend_module.Backend]
@@ -132,11 +132,11 @@
         return self.daemons[0]
 
     def find_controller(self, index: int, daemon: int = 0) -> typing.Any:
-        """A controller of an entry VM, in the order of their start."""
+        """A controller of an entry VM, by its index in the order of start."""
         return self.daemons[daemon].controllers[index]
 
     def get_reporter(self) -> load_reports.LoadReporter:
-        """What the first entry VM tells the others, and has been told."""
+        """The load reporter of the first entry VM."""
         return self.daemon.app.readiness.reporter
 
     def find_table(self) -> table.RoutingTable:
@@ -148,12 +148,12 @@
     def register(
         self, backend: backend_module.Backend, **changes: object
     ) -> None:
-        """Write a server's entry into the registry."""
+        """Write a server's entry to the registry topic."""
         entry_value = backend.describe(**changes)
         self.store.put("keyed.servers", backend.name, entry_value)
 
     def make_headers(self, **changes: str) -> list[tuple[str, str]]:
-        """Headers of a proper request; empty values leave one out."""
+        """Headers of a valid request; an empty value omits one."""
         self.ids += 1
         headers = {
             "host": HOST,
@@ -172,7 +172,7 @@
         daemon: int = 0,
         **headers: str,
     ) -> Answer:
-        """Make a call as a client does, on a connection of its own."""
+        """Make a call as a client, on a connection of its own."""
         address = self.daemons[daemon].settings.listen.callers
         async with httpcore.AsyncConnectionPool() as pool:
             with trio.fail_after(CALL_S):
@@ -189,24 +189,24 @@
         )
 
     async def request_stream(self, daemon: int = 0, **headers: str) -> Answer:
-        """Ask for a stream and leave the model to the system."""
-        wanted = {
+        """Request a stream, and let the system choose the model."""
+        defaults = {
             "carawayward_model": "*",
             "carawayward_token_count": "1000,50",
             "carawayward_prefix_hash": "aa:800,bb:200",
         }
         return await self.call(
-            "POST", "/tip/1", b"prompt", daemon, **(wanted | headers)
+            "POST", "/tip/1", b"prompt", daemon, **(defaults | headers)
         )
 
     async def wait_for(self, condition: typing.Callable[[], bool]) -> None:
-        """Wait until something has come about."""
+        """Wait until ``condition`` holds."""
         with trio.fail_after(START_S):
             while not condition():
                 await trio.sleep(0.005)
 
     async def check_readiness(self, daemon: int) -> int:
-        """Ask as the balancer does."""
+        """Probe an entry VM as the load balancer does; returns the status."""
         address = self.daemons[daemon].settings.listen.readiness
         async with httpcore.AsyncConnectionPool() as pool:
             with trio.fail_after(CALL_S):
@@ -215,10 +215,10 @@
 
     async def start_daemon(self, **bounds: int | bool) -> None:
         """Start one more entry VM and wait until it is ready."""
-        made = await self.start_daemon_unready(**bounds)
-        await self.wait_for(lambda: made.board.state.value == "ready")
+        daemon = await self.start_daemon_unready(**bounds)
+        await self.wait_for(lambda: daemon.board.state.value == "ready")
         await self.wait_for(
-            lambda: len(made.board.endpoints) == len(self.backends)
+            lambda: len(daemon.board.endpoints) == len(self.backends)
         )
 
     async def start_daemon_unready(
@@ -241,21 +241,21 @@
             bounds=settings_module.Bounds(**typing.cast(dict, bounds)),
             heartbeat_ms=self.heartbeat_ms,
         )
-        made = daemon_module.ForwardingDaemon.from_config(
+        daemon = daemon_module.ForwardingDaemon.from_config(
             settings, entry.make_ports(settings)
         )
         stop = trio.Event()
-        self.daemons.append(made)
+        self.daemons.append(daemon)
         self.stops.append(stop)
-        self.nursery.start_soon(made.serve, stop)
-        listening = trio.current_time() + START_S
-        while trio.current_time() < listening:
+        self.nursery.start_soon(daemon.serve, stop)
+        deadline = trio.current_time() + START_S
+        while trio.current_time() < deadline:
             with contextlib.suppress(OSError):
                 stream = await trio.open_tcp_stream("127.0.0.1", ports[1])
                 await stream.aclose()
                 break
             await trio.sleep(0.01)
-        return made
+        return daemon
 
 
 @contextlib.asynccontextmanager
@@ -267,15 +267,15 @@
     era: int | None = None,
     **bounds: int | bool,
 ) -> typing.AsyncIterator[Forwarding]:
-    """Run a store, servers and entry VMs until the test is over.
+    """Run a store, servers and entry VMs until the test ends.
 
-    Nothing renews the servers' entries; ``heartbeat_ms`` is what entry VMs
-    are told of how often servers do.
+    The servers' entries are not renewed; ``heartbeat_ms`` is the renewal
+    interval that the entry VMs assume.
     """
     store = store_module.Store(era=era)
     async with trio.open_nursery() as nursery:
         port = await nursery.start(raw_http.serve, store.handle)
-        made = Forwarding(
+        deployment = Forwarding(
             store,
             {b.name: b for b in backends},
             [],
@@ -286,16 +286,16 @@
         )
         for each in backends:
             each.port = await nursery.start(raw_http.serve, each.handle)
-            made.register(each)
+            deployment.register(each)
         store.put("keyed.op", "config", config or make_config())
         for _ in range(daemons):
-            await made.start_daemon(**bounds)
-        yield made
+            await deployment.start_daemon(**bounds)
+        yield deployment
         nursery.cancel_scope.cancel()
 
 
 def read_numbers(body: bytes) -> list[int]:
-    """The ids of a stream's events."""
+    """The ids of the events in a stream's body."""
     return [
         int(line.partition(b":")[2])
         for line in body.splitlines()
--- a/tests/cover/test_forwarding_load_reports.py
+++ b/tests/cover/test_forwarding_load_reports.py
@@ -85,7 +85,7 @@
     return reporter._encode_report(reporter.channels[0])
 
 
-def encode_introduction(reporter, **changes):
+def write(reporter, **changes):
     """A report that introduces its sender; ``f1`` replaces field 1."""
     for channel in reporter.channels:
         channel.introduced_at_ms = board_module.NEVER
@@ -146,7 +146,7 @@
     encode_report(one)
     other._handle_datagram(encode_report(one))
     assert not other.peers
-    other._handle_datagram(encode_introduction(one))
+    other._handle_datagram(write(one))
     other._handle_datagram(encode_report(one))
     assert other.loads.peers["vm-0"].loads["engine"].streams == 1
 
@@ -159,11 +159,11 @@
     look out of order.
     """
     one, other = (make_reporter(f"vm-{n}", InMemoryTopic()) for n in range(2))
-    other._handle_datagram(encode_introduction(one))
+    other._handle_datagram(write(one))
     for _ in range(20):
         late = encode_report(one)
     again = make_reporter("vm-0", InMemoryTopic())
-    other._handle_datagram(encode_introduction(again))
+    other._handle_datagram(write(again))
     other._handle_datagram(late)
     again.record_load("engine", engine_load.Load(100.0, 1))
     other._handle_datagram(encode_report(again))
@@ -189,12 +189,12 @@
         cbor2.dumps(17),
         cbor2.dumps([load_report_messages.VERSION]),
         cbor2.dumps([load_report_messages.VERSION + 1, "x"]),
-        encode_introduction(one, f1=["vm-0", "x", "nowhere", "north"]),
-        encode_introduction(one, f1=["vm-0"]),
-        encode_introduction(one, f2="first"),
-        encode_introduction(one, f4={7: "much"}),
-        encode_introduction(one, f5=[[7, 1]]),
-        encode_introduction(one, f6=3),
+        write(one, f1=["vm-0", "x", "nowhere", "north"]),
+        write(one, f1=["vm-0"]),
+        write(one, f2="first"),
+        write(one, f4={7: "much"}),
+        write(one, f5=[[7, 1]]),
+        write(one, f6=3),
     ):
         other._handle_datagram(data)
     assert not other.loads.peers
@@ -258,7 +258,7 @@
 
 
 @attrs.define
-class RecordingSocket:
+class Sender:
     """A socket that records what is sent."""
 
     sent: list[tuple[bytes, tuple[str, int]]] = attrs.field(factory=list)
@@ -279,7 +279,7 @@
             make_reporter(f"vm-{n}", members, n) for n in range(1, 41)
         ]
         for each in reporters:
-            each._send_socket = typing.cast(typing.Any, RecordingSocket())
+            each._send_socket = typing.cast(typing.Any, Sender())
             await each._join()
         newest = reporters[-1]
         assert len(newest._send_socket.sent) == 39
--- a/tests/cover/test_forwarding_platform.py
+++ b/tests/cover/test_forwarding_platform.py
@@ -1,4 +1,4 @@
-"""The platform's records, headers and settings, read once and strictly."""
+"""Parsing of the platform's records, headers and settings, and metrics."""
 
 import json
 import pathlib
@@ -68,7 +68,7 @@
 
 
 def test_longest_prefix_of_the_host_wins():
-    """Operators put a more special route beside a general one."""
+    """A more specific route takes precedence over a general one."""
     base = forwarding.make_config()["routes"][0]
     routes = [
         {**base, "name": "all", "pathPrefix": "/"},
@@ -83,7 +83,7 @@
 
 
 def test_route_that_is_split_keeps_its_shares():
-    """Operators send a tenth of a route's work to another service."""
+    """A tenth of a route's requests go to another service."""
     config = forwarding.make_config()
     config["routes"][0]["split"] = [
         {"service": "desk", "weight": 90},
@@ -100,7 +100,7 @@
 
 
 def test_target_without_weight_gets_nothing():
-    """Operators move all of a route's work away from a service."""
+    """A service with weight 0 gets none of a route's requests."""
     config = forwarding.make_config()
     config["routes"][0]["split"] = [
         {"service": "desk", "weight": 0},
@@ -112,7 +112,7 @@
     assert chosen == {"engines"}
 
 
-JUNK = strategies.recursive(
+ANY_JSON = strategies.recursive(
     strategies.none()
     | strategies.booleans()
     | strategies.integers()
@@ -128,9 +128,9 @@
 )
 
 
-@given(JUNK | strategies.binary(max_size=40))
+@given(ANY_JSON | strategies.binary(max_size=40))
 def test_no_record_of_another_writer_raises(value):
-    """Anything may stand in the store; it names nothing to use."""
+    """Arbitrary content of the store is ignored without an exception."""
     for key in ("config", "rollout/desk", "servers"):
         raw = value if isinstance(value, bytes) else json.dumps(value).encode()
         given_record = keyed_log.Record(key, raw)
@@ -139,9 +139,11 @@
         records.decode_status(given_record)
 
 
-@given(strategies.sampled_from(sorted(ENTRY)), JUNK)
-def test_half_typed_entry_is_whole_or_nothing(field, value):
-    """One field of a server's entry is of another type."""
+@given(strategies.sampled_from(sorted(ENTRY)), ANY_JSON)
+def test_entry_with_a_field_of_the_wrong_type_is_valid_or_ignored(
+    field, value
+):
+    """An entry with a field of the wrong type is valid or ignored."""
     found = records.decode_endpoint(record("i-1", {**ENTRY, field: value}))
     if found is not None:
         assert type(found.service) is str
@@ -151,7 +153,7 @@
 
 
 def test_headers_that_only_the_system_sets_are_dropped():
-    """A caller forges what the system says to endpoints."""
+    """Callers cannot forge the headers that the system sends to endpoints."""
     forged = [
         (name, b"forged")
         for name in headers.SYSTEM_HEADERS - {headers.DEADLINE}
@@ -169,7 +171,7 @@
 
 @given(strategies.binary(max_size=30), strategies.binary(max_size=30))
 def test_odd_headers_are_read_as_far_as_they_can_be(tokens, prefix):
-    """Callers' libraries write anything into headers."""
+    """Malformed optional headers of callers are ignored."""
     found = headers.read_request(
         [
             (b"Carawayward-Attempt-Id", b"a"),
@@ -184,7 +186,7 @@
 
 
 def test_prompt_parts_are_read_in_order():
-    """The example of the published protocol."""
+    """The example in the published protocol."""
     found = headers.read_request(
         [
             (b"carawayward-attempt-id", b"9c41d07be2a35f68"),
@@ -196,27 +198,27 @@
     assert [part.tokens for part in found.prompt] == [800, 410, 250]
 
 
-def test_records_survive_the_way_through_the_store():
-    """Keys and values as they stand in a topic, also a dropped key."""
+def test_records_survive_encoding_and_decoding():
+    """Keys and values, and removed keys, survive encoding and decoding."""
     for each in (
         keyed_log.Record("rollout/desk", b'{"a": 1}'),
         keyed_log.Record("gone", None),
     ):
-        raw = store.write_record(each)
+        raw = store.encode_record(each)
         (inner,) = store.split_records(raw)
-        found = store.read_record(inner, 3)
+        found = store.decode_record(inner, 3)
         assert (found.key, found.value) == (each.key, each.value)
 
 
-def test_cut_off_read_is_no_record():
-    """An answer of the store that ends amid a length brings nothing."""
+def test_truncated_read_yields_only_whole_records():
+    """An answer of the store that ends within a length field."""
     whole = struct.pack(">I", 3) + b"\x01ab"
     assert list(store.split_records(whole + b"\x00\x00")) == [b"\x01ab"]
 
 
 @given(strategies.lists(strategies.integers(1, 9), max_size=12))
 def test_events_are_whole_however_they_are_cut(lengths):
-    """Engines and networks cut a stream anywhere."""
+    """Engines and networks split a stream at arbitrary positions."""
     raw = b"".join(b"id: %d\ndata: x%d\n\n" % (n, n) for n in range(1, 7))
     splitter = event_stream.EventSplitter()
     found = []
@@ -230,14 +232,14 @@
 
 
 def test_event_that_never_ends_is_refused():
-    """A broken endpoint sends bytes without end; memory is bounded."""
+    """A broken endpoint sends an endless event; memory stays bounded."""
     splitter = event_stream.EventSplitter()
     try:
         for _ in range(3):
             splitter.feed(b"x" * 500_000)
     except event_stream.MalformedStream:
         return
-    raise AssertionError("the event was kept")
+    raise AssertionError("the oversized event was accepted")
 
 
 SECTIONS = {"heartbeatMs": "1200"}
@@ -249,7 +251,7 @@
 
 
 def fill_template(sections=SECTIONS, **changes):
-    """Fill in values, and the sections for which there is one."""
+    """Fill the settings template with values; drop sections without one."""
 
     def fill_section(found):
         value = sections.get(found[1])
@@ -264,8 +266,8 @@
     return text
 
 
-def test_template_makes_settings_of_our_own():
-    """The platform fills the template in at each start of a process."""
+def test_filled_template_gives_valid_settings():
+    """The platform fills in the template at each start of a process."""
     text = fill_template()
     assert "{{" not in text
     found = settings.ForwardingSettings.from_config(text)
@@ -277,7 +279,7 @@
 
 
 def test_bounds_of_cold_endpoints_reach_the_settings():
-    """A deployment that has cold endpoints says what they may get."""
+    """A deployment with cold endpoints bounds the requests to them."""
     text = fill_template(SECTIONS | COLD_SECTIONS)
     found = settings.ForwardingSettings.from_config(text).bounds
     assert (found.cold_overshoot, found.cold_slack) == (1.5, 5.0)
@@ -285,7 +287,7 @@
 
 
 def test_bad_settings_name_the_field_and_the_remedy():
-    """The platform fills in nothing, or something of another type."""
+    """The platform fills in an empty value, or one of the wrong type."""
     for changes, field in (
         ({"listen.frontend|json": ""}, "callers"),
         ({"listen.ready|json": '"nowhere"'}, "listen.readiness"),
@@ -298,14 +300,14 @@
         except errors.SettingsError as fault:
             assert field in str(fault), str(fault)
         else:
-            raise AssertionError(f"{changes} was taken")
+            raise AssertionError(f"{changes} was accepted")
 
 
-def test_platforms_names_stand_in_its_folder_only():
-    """Whatever speaks the platform's words stays in one place.
+def test_platform_names_occur_in_its_package_only():
+    """Names of the platform's protocol occur only in its own package.
 
-    Everything else keeps the product's own words, so that another
-    deployment needs another folder and nothing else.
+    Everything else uses the product's own terms, so that another platform
+    needs another package and nothing else.
     """
     names = {
         value.decode()
@@ -325,34 +327,36 @@
 
 
 def test_names_on_the_metrics_page_are_bounded():
-    """A configuration brings hundreds of routes; memory stays bounded."""
-    made = metrics.Metrics()
+    """With hundreds of routes the number of series stays bounded."""
+    counted = metrics.Metrics()
     for number in range(2 * metrics.MAX_COUNTERS):
-        made.count("requests", route=f"r-{number}", status="200")
-        made.observe("answer", 12.0, route=f"r-{number}")
-    assert len(made.counters) == metrics.MAX_COUNTERS + 1
-    assert len(made.latencies) <= metrics.MAX_HISTOGRAMS + 1
-    page = metrics.render_page(made, {"ready": 1.0}).decode()
+        counted.count("requests", route=f"r-{number}", status="200")
+        counted.observe("answer", 12.0, route=f"r-{number}")
+    assert len(counted.counters) == metrics.MAX_COUNTERS + 1
+    assert len(counted.latencies) <= metrics.MAX_HISTOGRAMS + 1
+    page = metrics.render_page(counted, {"ready": 1.0}).decode()
     assert 'carawayward_answer_ms{route="r-1",quantile="0.99"} 12' in page
     assert "carawayward_ready 1" in page
 
 
 def test_answer_on_a_closing_connection_counts_as_delivered():
-    """Logs and counters call served requests "caller left".
+    """Logs and counters reported served requests as "caller left".
 
-    Cause: the closing of a connection that ends with its answer was taken
-    for a caller who gives up.
+    Cause: a connection that closes after its answer was mistaken for a caller
+    that gives up.
     """
 
     async def main():
         desk = backend.Backend("desk-0")
-        async with forwarding.open_forwarding(desk) as made:
+        async with forwarding.open_forwarding(desk) as deployment:
             for _ in range(3):
-                answer = await made.call("GET", "/look/", connection="close")
+                answer = await deployment.call(
+                    "GET", "/look/", connection="close"
+                )
                 assert answer.status == 200
             wanted = 'carawayward_requests_total{route="look",status="200"} 3'
-            found = made.daemon.app.metrics
-            await made.wait_for(
+            found = deployment.daemon.app.metrics
+            await deployment.wait_for(
                 lambda: wanted in metrics.render_page(found, {}).decode()
             )
 
@@ -360,15 +364,15 @@
 
 
 def test_metrics_are_served():
-    """The platform fetches the page every few seconds."""
+    """The platform scrapes the metrics page every few seconds."""
 
     async def main():
         desk = backend.Backend("desk-0")
-        async with forwarding.open_forwarding(desk) as made:
+        async with forwarding.open_forwarding(desk) as deployment:
             page = metrics.render_page(
-                made.daemon.app.metrics,
+                deployment.daemon.app.metrics,
                 metrics.collect_gauges(
-                    made.daemon.board, made.daemon.clock.boot_ms()
+                    deployment.daemon.board, deployment.daemon.clock.boot_ms()
                 ),
             )
         assert b"carawayward_table_revision 1" in page
--- a/tests/cover/test_forwarding_versions.py
+++ b/tests/cover/test_forwarding_versions.py
@@ -303,7 +303,7 @@
 
 def observe_first_token(rollouts, model, version):
     """Observe the first token of a stream that no roll-out counts."""
-    stub: typing.Any = types.SimpleNamespace(
+    nothing: typing.Any = types.SimpleNamespace(
         get_latency_model=lambda service: model,
         observe=lambda *args, **labels: None,
         observe_ttft=lambda: None,
@@ -312,8 +312,8 @@
     began_ms = rollouts.clock.now_ms() - 1_500.0
     work: typing.Any = types.SimpleNamespace(
         progress=work_items.Progress(began_ms, version=version),
-        reading=stub,
-        facts=stub,
+        reading=nothing,
+        facts=nothing,
         service="desk",
         endpoint="engine",
         model_name="large",
@@ -322,7 +322,7 @@
         confidence=None,
     )
     placing.Placer(
-        rollouts.clock, stub, rollouts, stub, stub, stub
+        rollouts.clock, nothing, rollouts, nothing, nothing, nothing
     ).observe_ttft(work)
 
 
--- a/tests/cover/test_store_eras.py
+++ b/tests/cover/test_store_eras.py
@@ -19,11 +19,11 @@
 
 def test_era_is_read_from_each_answer_or_it_counts_for_nothing():
     """An entry VM takes a lost history for the newest."""
-    assert store.read_era([(b"Content-Length", b"3")]) == 0
-    assert store.read_era([(b"Store-Era", b"7")]) == 7
+    assert store.parse_era([(b"Content-Length", b"3")]) == 0
+    assert store.parse_era([(b"Store-Era", b"7")]) == 7
     for value in (b"", b"-1", b"x", b"1.5", b"9" * 40, b"1,2"):
         try:
-            store.read_era([(b"store-era", value)])
+            store.parse_era([(b"store-era", value)])
         except errors.PlatformUnavailable:
             continue
         raise AssertionError(value)
--- a/tests/demo_forwarded.py
+++ b/tests/demo_forwarded.py
@@ -1,8 +1,9 @@
-"""``./build.sh forwarded``: forwarded routes on loopback, and a table.
+"""Demo of forwarded routes on loopback: ``./build.sh forwarded``.
 
-Three entry VMs in one process, plain servers, engines and a stand-in for the
-store. One engine breaks each stream off, one server declines, and a new
-version of the plain service is brought in meanwhile.
+Runs three entry VMs in one process, plain servers, engines and a stand-in for
+the store. One engine breaks off every stream, one server declines requests,
+and meanwhile a new version of the plain service is rolled out. The outcome of
+the requests is printed as a table.
 """
 
 import collections
@@ -24,7 +25,7 @@
 
 @attrs.frozen(kw_only=True)
 class Result:
-    """What became of a request."""
+    """The outcome of a request; ``whole`` if its answer was complete."""
 
     kind: str
     status: int
@@ -32,7 +33,7 @@
 
 
 def make_servers() -> list[backend.Backend]:
-    """Two versions of a plain service, and three engines; two misbehave."""
+    """Servers of two versions and three engines; one of each is faulty."""
     desks = [
         backend.Backend(f"desk-{version}-{number}", version=version)
         for version in ("v1", "v2")
@@ -53,58 +54,60 @@
     return [*desks, *engines]
 
 
-async def send(made: forwarding.Forwarding, draw: random.Random) -> Result:
-    """Send one request of some kind to some entry VM."""
+async def send(
+    deployment: forwarding.Forwarding, draw: random.Random
+) -> Result:
+    """Send a request of a random kind to a random entry VM."""
     daemon = draw.randrange(ENTRY_VMS)
     kind = draw.choice(["look-up", "log", "stream"])
     if kind == "stream":
-        answer = await made.request_stream(daemon)
+        answer = await deployment.request_stream(daemon)
         numbers = forwarding.read_numbers(answer.body)
         whole = numbers == list(range(1, EVENTS + 1))
     else:
         path = "/look/1" if kind == "look-up" else "/log/1"
-        answer = await made.call("POST", path, b"P-17", daemon)
+        answer = await deployment.call("POST", path, b"P-17", daemon)
         whole = answer.body.startswith(b"done by")
     return Result(kind=kind, status=answer.status, whole=whole)
 
 
-def read_state(made: forwarding.Forwarding) -> str:
-    """What operators read of the roll-out."""
-    newest = made.store.topic("keyed.status").newest
+def read_state(deployment: forwarding.Forwarding) -> str:
+    """The state of the roll-out, as operators see it."""
+    newest = deployment.store.topic("keyed.status").newest
     if "rollout/desk" not in newest:
         return "ordered"
     return json.loads(newest["rollout/desk"][1])["state"]
 
 
 async def play(requests: int, seed: int = 1) -> list[Result]:
-    """Bring a version in while requests are sent; return what became."""
+    """Roll out a version while requests are sent; return their outcomes."""
     draw = random.Random(seed)
     results: list[Result] = []
     async with forwarding.open_forwarding(
         *make_servers(), daemons=ENTRY_VMS
-    ) as made:
+    ) as deployment:
         order = {"service": "desk", "target": "v2", "durationS": ROLLOUT_S}
-        made.store.put("keyed.op", "rollout/desk", order)
+        deployment.store.put("keyed.op", "rollout/desk", order)
 
         async def send_one() -> None:
-            results.append(await send(made, draw))
+            results.append(await send(deployment, draw))
 
         async with trio.open_nursery() as nursery:
-            while len(results) < requests or read_state(made) not in (
+            while len(results) < requests or read_state(deployment) not in (
                 "completed",
                 "rolled_back",
             ):
                 nursery.start_soon(send_one)
                 await trio.sleep(PAUSE_S)
-        print_table(results, read_state(made))
-        for daemon in made.daemons:
+        print_table(results, read_state(deployment))
+        for daemon in deployment.daemons:
             address = daemon.settings.listen.callers
             print(f"{daemon.board.name} served callers at {address}")
     return results
 
 
 def print_table(results: list[Result], state: str) -> None:
-    """Print what became of each kind of request."""
+    """Print the outcomes by kind of request."""
     rows = collections.Counter((r.kind, r.status, r.whole) for r in results)
     print("\n| request | status | whole | count |\n|---|---|---|---|")
     for (kind, status, whole), count in sorted(rows.items()):
@@ -113,7 +116,7 @@
 
 
 def main(requests: int = 200) -> int:
-    """Play, print, and say by the exit code whether all were served."""
+    """Run the demo; the exit code is 0 if all requests were served."""
     results = trio.run(play, requests)
     return int(any(r.status != 200 or not r.whole for r in results))
 
--- a/tests/failures/test_forwarding_deployments.py
+++ b/tests/failures/test_forwarding_deployments.py
@@ -1,8 +1,8 @@
-"""Entry VMs on deployments that differ from the usual one in one point.
+"""Deployments that each differ from the usual one in one point.
 
-Operators run the product where nobody here has looked: each row starts an
-entry VM on such a declaration, with such servers and bounds, and each kind
-of request that the deployment has is served.
+Operators run the product in configurations that no other test covers. Each
+deployment starts an entry VM with its own configuration, servers and bounds,
+and checks that every kind of request of that deployment is served.
 """
 
 import copy
@@ -31,7 +31,7 @@
 
 @attrs.frozen(kw_only=True)
 class Row:
-    """A deployment: its declaration, servers and bounds, and its requests."""
+    """A deployment's configuration, servers, bounds and requests."""
 
     change: Change = lambda config: None
     servers: typing.Callable[[], list] = make_both
@@ -42,7 +42,7 @@
 
 
 def keep_routes(*names):
-    """Only some of the routes."""
+    """Keep only some of the routes."""
 
     def change(config):
         config["routes"] = [r for r in config["routes"] if r["name"] in names]
@@ -51,7 +51,7 @@
 
 
 def change_route(name, **values):
-    """Some fields of a route; None takes one away."""
+    """Change fields of a route; None removes one."""
 
     def change(config):
         for route in config["routes"]:
@@ -64,7 +64,7 @@
 
 
 def drop(*names):
-    """Without some of the declaration's parts."""
+    """Remove sections of the configuration."""
 
     def change(config):
         for name in names:
@@ -73,19 +73,19 @@
     return change
 
 
-def forget_engine(config):
-    """A streaming service of which nothing is known."""
+def drop_engine(config):
+    """Leave the streaming service undeclared."""
     config["services"] = config["services"][:1]
 
 
 def open_to_all(config):
-    """No customers, no keys."""
+    """Declare no customers and no keys."""
     del config["tenants"]
     for route in config["routes"]:
         route["anonymous"] = True
 
 
-ROWS = {
+DEPLOYMENTS = {
     "one plain service alone": Row(
         change=keep_routes("look"),
         servers=lambda: [make_desk()],
@@ -101,7 +101,7 @@
     "streams without models to choose from": Row(
         change=change_route("tip", sizes=None)
     ),
-    "streams from servers that are no engines": Row(change=forget_engine),
+    "streams from servers that are no engines": Row(change=drop_engine),
     "streams that cannot be resumed": Row(
         change=change_route("tip", resumable=False, gapTargetMs=None)
     ),
@@ -151,46 +151,48 @@
 }
 
 
-async def play(row):
-    """Start an entry VM, send each kind of request, move a version."""
+async def check_deployment(row):
+    """Start an entry VM, send each kind of request, order a roll-out."""
     config = copy.deepcopy(forwarding.make_config())
     row.change(config)
     servers = row.servers()
     async with forwarding.open_forwarding(
         *servers, config=config, **row.bounds
-    ) as made:
+    ) as running:
         for server in servers:
             if row.entry:
-                made.register(server, **row.entry, sequence=2)
+                running.register(server, **row.entry, sequence=2)
         for number in range(3):
             for path in row.calls:
                 headers = {"session": f"s-{number}", **row.headers}
                 if path.startswith("/tip"):
-                    answer = await made.request_stream(**headers)
+                    answer = await running.request_stream(**headers)
                 else:
-                    answer = await made.call("GET", path, **headers)
+                    answer = await running.call("GET", path, **headers)
                 assert answer.status == 200, (path, answer)
         order = {"service": "desk", "target": "v9", "durationS": 1.0}
-        made.store.put("keyed.op", "rollout/desk", order)
+        running.store.put("keyed.op", "rollout/desk", order)
         await trio.sleep(0.3)
         for path in row.calls:
             if path.startswith("/tip"):
                 continue
-            answer = await made.call("GET", path, **row.headers)
+            answer = await running.call("GET", path, **row.headers)
             assert answer.status == 200, (path, answer)
-        await made.wait_for(
-            lambda: "rollout/desk" in made.store.topic("keyed.status").newest
+        await running.wait_for(
+            lambda: (
+                "rollout/desk" in running.store.topic("keyed.status").newest
+            )
         )
 
 
 def test_requests_are_served_on_each_deployment():
-    """Whatever a deployment leaves out or sets otherwise, its work is done.
+    """Requests are served whatever a deployment omits or changes.
 
-    An order for a version that has no server changes nothing for callers.
+    An order for a version without servers changes nothing for callers.
     """
-    for name, row in ROWS.items():
+    for name, row in DEPLOYMENTS.items():
         try:
-            trio.run(play, row)
+            trio.run(check_deployment, row)
         except BaseException as fault:
             fault.add_note(f"on the deployment: {name}")
             raise
--- a/tests/failures/test_forwarding_eras.py
+++ b/tests/failures/test_forwarding_eras.py
@@ -195,7 +195,7 @@
             members = made.store.topic("keyed.members")
             await made.wait_for(lambda: len(members.newest) == 2)
             made.store.save_copy()
-            made.store.saved["keyed.members"] = store.Topic()
+            made.store.saved_topics["keyed.members"] = store.Topic()
             made.store.restore_copy()
             members = made.store.topic("keyed.members")
             await made.wait_for(lambda: len(members.newest) == 2)
--- a/tests/failures/test_forwarding_rollouts.py
+++ b/tests/failures/test_forwarding_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs ordered through the store, with good and bad versions."""
+"""Roll-outs of good and bad versions, ordered through the store."""
 
 import json
 
@@ -11,7 +11,7 @@
 
 
 def make_pool(always=None):
-    """Two desks of the old and two of the new version."""
+    """Two servers of the old and two of the new version."""
     return [
         backend.Backend(
             f"desk-{version}-{number}",
@@ -23,25 +23,25 @@
     ]
 
 
-def read_status(made):
-    """What the operator reads."""
-    newest = made.store.topic("keyed.status").newest
+def read_status(deployment):
+    """The status of the roll-out, as operators read it."""
+    newest = deployment.store.topic("keyed.status").newest
     if "rollout/desk" not in newest:
         return None
     return json.loads(newest["rollout/desk"][1])
 
 
-def give_order(made, seconds=ORDER_S):
+def give_order(deployment, seconds=ORDER_S):
     order = {"service": "desk", "target": "v2", "durationS": seconds}
-    made.store.put("keyed.op", "rollout/desk", order)
+    deployment.store.put("keyed.op", "rollout/desk", order)
 
 
-async def send_until_decided(made, seconds=ORDER_S):
+async def send_until_decided(deployment, seconds=ORDER_S):
     """Send requests until the status is final; return their sessions."""
     sent: list[str] = []
     with trio.move_on_after(1.5 * seconds):
         while True:
-            status = read_status(made)
+            status = read_status(deployment)
             if status and status["state"] != "in_progress":
                 break
             sessions = [f"s-{len(sent) + n}" for n in range(12)]
@@ -49,21 +49,21 @@
                 for number, session in enumerate(sessions):
 
                     async def send(daemon, name):
-                        await made.call(
+                        await deployment.call(
                             "GET", "/look/", daemon=daemon, session=name
                         )
 
                     nursery.start_soon(
-                        send, number % len(made.daemons), session
+                        send, number % len(deployment.daemons), session
                     )
             sent += sessions
             await trio.sleep(0.02)
     return sent
 
 
-def is_decided(made):
-    """Whether operators read a final state."""
-    status = read_status(made)
+def is_decided(deployment):
+    """Whether the status is final."""
+    status = read_status(deployment)
     return status is not None and status["state"] != "in_progress"
 
 
@@ -71,16 +71,18 @@
     return sum(len(d.runs) for d in desks if d.version == version)
 
 
-async def call_and_close(made, daemon):
-    """A client whose connection ends with its answer."""
-    host, _, port = made.daemons[daemon].settings.listen.callers.partition(":")
+async def call_and_close(deployment, daemon):
+    """Call as a client that closes its connection after the answer."""
+    host, _, port = deployment.daemons[
+        daemon
+    ].settings.listen.callers.partition(":")
     async with await trio.open_tcp_stream(host, int(port)) as stream:
         lines = [
             "POST /log/ HTTP/1.1",
             "content-length: 0",
             "connection: close",
         ]
-        lines += [f"{n}: {v}" for n, v in made.make_headers()]
+        lines += [f"{n}: {v}" for n, v in deployment.make_headers()]
         await stream.send_all("\r\n".join([*lines, "", ""]).encode())
         await stream.receive_some(1)
 
@@ -89,30 +91,30 @@
     """A version that failed half of its requests was completed.
 
     Half of its callers asked for the connection to be closed. Cause: the
-    server reports the closing while the answer's end is handed over; it was
-    taken for a caller who leaves, and cancelled the request just before its
-    answer was counted. The version was judged by the other half alone.
+    server reports the closing while the end of the answer is sent. This was
+    mistaken for a caller that had left, and cancelled the request just before
+    its answer was counted, so only the other half was judged.
     """
 
     async def main():
         desks = make_pool(always=backend.fail)
-        async with forwarding.open_forwarding(*desks) as made:
-            give_order(made, 6.0)
+        async with forwarding.open_forwarding(*desks) as deployment:
+            give_order(deployment, 6.0)
             with trio.move_on_after(5.0):
-                while read_status(made) is None or (
-                    read_status(made)["state"] == "in_progress"
+                while read_status(deployment) is None or (
+                    read_status(deployment)["state"] == "in_progress"
                 ):
                     async with trio.open_nursery() as nursery:
                         for _ in range(6):
-                            nursery.start_soon(call_and_close, made, 0)
+                            nursery.start_soon(call_and_close, deployment, 0)
                     await trio.sleep(0.02)
-            assert read_status(made)["state"] == "rolled_back"
+            assert read_status(deployment)["state"] == "rolled_back"
 
     trio.run(main)
 
 
 def make_engines(events, head_ms):
-    """Engines of two versions; the new one's answers come slowly."""
+    """Engines of two versions, of which the new one answers slowly."""
     return [
         backend.Backend(
             f"engine-{version}-{number}",
@@ -129,25 +131,25 @@
 
 
 def test_slow_version_is_rolled_back_before_its_answers_end():
-    """Streams of the new version take many times as long.
+    """Streams of the new version are many times slower and outlive the trial.
 
-    They outlive the trial, so that no answer speaks against it. Cause: only
-    whole answers were judged. It was rolled back as unknown when its time
-    was over, and its callers waited.
+    Because only complete answers were judged, there was no evidence against
+    the version. It was rolled back for lack of evidence when its time was
+    over, and its callers had to wait until then.
     """
 
     async def main():
         engines = make_engines(events=100, head_ms=1_500.0)
-        async with forwarding.open_forwarding(*engines) as made:
+        async with forwarding.open_forwarding(*engines) as deployment:
             order = {"service": "engines", "target": "v2", "durationS": 8.0}
-            made.store.put("keyed.op", "rollout/engines", order)
+            deployment.store.put("keyed.op", "rollout/engines", order)
             began, status = trio.current_time(), {"state": "none"}
             async with trio.open_nursery() as nursery:
                 while trio.current_time() - began < 6.0:
                     for _ in range(4):
-                        nursery.start_soon(made.request_stream)
+                        nursery.start_soon(deployment.request_stream)
                     await trio.sleep(0.05)
-                    newest = made.store.topic("keyed.status").newest
+                    newest = deployment.store.topic("keyed.status").newest
                     if "rollout/engines" not in newest:
                         continue
                     status = json.loads(newest["rollout/engines"][1])
@@ -160,87 +162,94 @@
 
 
 def test_session_that_began_before_the_order_stays_on_the_old_version():
-    """A session's requests go on while operators order a new version.
+    """A session is in progress when operators order a new version.
 
-    Cause: sessions were remembered from the order on, so that the first
-    request after it could go to the new version, amid the session.
+    When sessions were recorded only from the order on, the first request
+    after it could go to the new version in the middle of the session.
     """
 
     async def main():
         desks = make_pool()
-        async with forwarding.open_forwarding(*desks) as made:
+        async with forwarding.open_forwarding(*desks) as deployment:
             names = [f"s-{number}" for number in range(60)]
             for desk in desks:
                 if desk.version == "v2":
-                    made.register(desk, state="draining")
-            places = made.daemon.board.endpoints
-            await made.wait_for(
+                    deployment.register(desk, state="draining")
+            places = deployment.daemon.board.endpoints
+            await deployment.wait_for(
                 lambda: sum(not e.leaving for e in places.values()) == 2
             )
             for name in names:
-                await made.call("GET", "/look/", session=name)
+                await deployment.call("GET", "/look/", session=name)
             for desk in desks:
-                made.register(desk, state="ready", sequence=2)
-            await made.wait_for(
+                deployment.register(desk, state="ready", sequence=2)
+            await deployment.wait_for(
                 lambda: not any(e.leaving for e in places.values())
             )
-            give_order(made, 8.0)
-            controller = made.find_controller(3)
-            await made.wait_for(lambda: "desk" in controller.rollouts.rollouts)
+            give_order(deployment, 8.0)
+            controller = deployment.find_controller(3)
+            await deployment.wait_for(
+                lambda: "desk" in controller.rollouts.rollouts
+            )
             rollout = controller.rollouts.rollouts["desk"]
-            await made.wait_for(lambda: rollout.status_known)
+            await deployment.wait_for(lambda: rollout.status_known)
             began = trio.current_time()
             while trio.current_time() - began < 2.5:
                 for name in names:
-                    answer = await made.call("GET", "/look/", session=name)
+                    answer = await deployment.call(
+                        "GET", "/look/", session=name
+                    )
                     assert answer.body.split(b"-")[1] == b"v1"
-                    await made.call("GET", "/look/")
+                    await deployment.call("GET", "/look/")
 
     trio.run(main)
 
 
 def test_good_version_is_completed_in_time_and_has_all_traffic():
-    """Operators order a good version.
+    """A good version gets few requests at first and is completed in time.
 
-    Few requests try it at first; it is reported as completed before the
-    time is up, when nothing runs on the old version any more.
+    It is reported as completed before the duration ends, once no request runs
+    on the old version.
     """
 
     async def main():
         desks = make_pool()
-        async with forwarding.open_forwarding(*desks, daemons=2) as made:
-            give_order(made)
-            # Requests under way end after the decision; the time that counts
-            # is when operators could read it.
+        async with forwarding.open_forwarding(*desks, daemons=2) as deployment:
+            give_order(deployment)
+            # Open requests end after the decision; what counts is the time at
+            # which operators can read it.
             with trio.fail_after(ORDER_S):
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(send_until_decided, made)
-                    while not is_decided(made):
+                    nursery.start_soon(send_until_decided, deployment)
+                    while not is_decided(deployment):
                         await trio.sleep(0.005)
                     nursery.cancel_scope.cancel()
-            assert read_status(made) == {"state": "completed", "target": "v2"}
+            assert read_status(deployment) == {
+                "state": "completed",
+                "target": "v2",
+            }
             old = count_runs(desks, "v1")
             await trio.sleep(0.3)
             for daemon in (0, 1):
-                await made.call("GET", "/look/", daemon=daemon)
+                await deployment.call("GET", "/look/", daemon=daemon)
             assert count_runs(desks, "v1") == old
 
     trio.run(main)
 
 
 def test_bad_version_is_rolled_back_and_met_by_few():
-    """The new version answers with failures.
+    """A new version that answers with failures is rolled back.
 
-    It is rolled back, the callers get answers of the old one, and it never
-    gets another request.
+    Callers then get answers of the old version, and the new one gets no
+    further request.
     """
 
     async def main():
         desks = make_pool(always=backend.fail)
-        async with forwarding.open_forwarding(*desks, daemons=2) as made:
-            give_order(made)
-            sent = await send_until_decided(made)
-            assert read_status(made) == {
+        async with forwarding.open_forwarding(*desks, daemons=2) as deployment:
+            give_order(deployment)
+            sent = await send_until_decided(deployment)
+            assert read_status(deployment) == {
                 "state": "rolled_back",
                 "target": "v2",
             }
@@ -249,7 +258,9 @@
             await trio.sleep(1.3)
             for daemon in (0, 1):
                 for _ in range(10):
-                    answer = await made.call("GET", "/look/", daemon=daemon)
+                    answer = await deployment.call(
+                        "GET", "/look/", daemon=daemon
+                    )
                     assert answer.status == 200
             assert count_runs(desks, "v2") == bad
 
@@ -257,20 +268,20 @@
 
 
 def test_new_version_gets_nothing_without_an_order():
-    """Servers of a rolled back version are still there.
+    """The servers of a rolled back version are still registered.
 
-    An entry VM that starts now reads the status and leaves them alone.
+    An entry VM that starts then reads the status and sends them no requests.
     """
 
     async def main():
         desks = make_pool()
-        async with forwarding.open_forwarding(*desks) as made:
+        async with forwarding.open_forwarding(*desks) as deployment:
             status = {"state": "rolled_back", "target": "v2"}
-            made.store.put("keyed.status", "rollout/desk", status)
-            give_order(made, 60.0)
-            await made.start_daemon()
+            deployment.store.put("keyed.status", "rollout/desk", status)
+            give_order(deployment, 60.0)
+            await deployment.start_daemon()
             for _ in range(40):
-                await made.call("GET", "/look/", daemon=1)
+                await deployment.call("GET", "/look/", daemon=1)
                 await trio.sleep(0.01)
         assert count_runs(desks, "v2") == 0
 
@@ -280,16 +291,18 @@
 def test_completed_is_never_written_over_rolled_back():
     """Two entry VMs decide at the same moment, one that the version is bad.
 
-    The append of the other is conditional on nothing having been written
-    since it read, so its "completed" fails, and it takes over the halt.
+    The append of the other is conditional on no write since its last read, so
+    its "completed" fails and it adopts the rollback.
     """
 
     async def main():
         desks = make_pool()
-        async with forwarding.open_forwarding(*desks) as made:
-            give_order(made)
-            controller = made.find_controller(3)
-            await made.wait_for(lambda: "desk" in controller.rollouts.rollouts)
+        async with forwarding.open_forwarding(*desks) as deployment:
+            give_order(deployment)
+            controller = deployment.find_controller(3)
+            await deployment.wait_for(
+                lambda: "desk" in controller.rollouts.rollouts
+            )
             append = controller.statuses.append
             raced: list[dict] = []
 
@@ -298,22 +311,24 @@
                 if value["state"] == "completed" and not raced:
                     raced.append(value)
                     status = {"state": "rolled_back", "target": "v2"}
-                    made.store.put("keyed.status", "rollout/desk", status)
+                    deployment.store.put(
+                        "keyed.status", "rollout/desk", status
+                    )
                 return await append(records, end)
 
-            controller.statuses = Racing(controller.statuses, race)
-            await send_until_decided(made)
-            await made.wait_for(lambda: bool(raced))
+            controller.statuses = TopicWithAppend(controller.statuses, race)
+            await send_until_decided(deployment)
+            await deployment.wait_for(lambda: bool(raced))
             rollout = controller.rollouts.rollouts["desk"]
-            await made.wait_for(lambda: not rollout.running)
+            await deployment.wait_for(lambda: not rollout.running)
             assert rollout.state.value == "rolled back"
-            assert read_status(made)["state"] == "rolled_back"
+            assert read_status(deployment)["state"] == "rolled_back"
 
     trio.run(main)
 
 
-class Racing:
-    """A topic whose appends go through a test's own function."""
+class TopicWithAppend:
+    """A topic whose appends are replaced by a function of the test."""
 
     def __init__(self, topic, append):
         self.topic = topic
@@ -324,23 +339,27 @@
 
 
 def test_session_stays_on_the_old_version_in_the_first_half():
-    """A session goes on while a version is tried.
+    """A session continues while a version is on trial.
 
-    In the first half it must stay on the version that it began with.
+    In the first half of the roll-out it must stay on its first version.
     """
 
     async def main():
         desks = make_pool()
-        async with forwarding.open_forwarding(*desks) as made:
+        async with forwarding.open_forwarding(*desks) as deployment:
             names = [f"s-{number}" for number in range(40)]
-            give_order(made, 8.0)
-            controller = made.find_controller(3)
-            await made.wait_for(lambda: "desk" in controller.rollouts.rollouts)
+            give_order(deployment, 8.0)
+            controller = deployment.find_controller(3)
+            await deployment.wait_for(
+                lambda: "desk" in controller.rollouts.rollouts
+            )
             seen: dict[str, set[bytes]] = {name: set() for name in names}
             began = trio.current_time()
             while trio.current_time() - began < 3.0:
                 for name in names:
-                    answer = await made.call("GET", "/look/", session=name)
+                    answer = await deployment.call(
+                        "GET", "/look/", session=name
+                    )
                     seen[name].add(answer.body.split(b"-")[1])
                 await trio.sleep(0.05)
         assert all(len(versions) == 1 for versions in seen.values())
--- a/tests/standins/store.py
+++ b/tests/standins/store.py
@@ -1,6 +1,6 @@
-"""The users' store: keyed topics with offsets, and its published faults.
+"""Stand-in for the platform's store: keyed topics with offsets, and faults.
 
-Written from the published protocol; it keeps one partition a topic.
+It follows the published protocol, with a single partition per topic.
 """
 
 import base64
@@ -18,12 +18,12 @@
 
 @attrs.define(eq=False)
 class Topic:
-    """Records from ``first`` on, and the newest of each key."""
+    """Records from offset ``first`` on, and the latest of each key."""
 
     first: int = 0
     records: list[bytes] = attrs.field(factory=list)
     newest: dict[str, tuple[int, bytes]] = attrs.field(factory=dict)
-    grown: trio.Event = attrs.field(factory=trio.Event)
+    appended: trio.Event = attrs.field(factory=trio.Event)
 
     @property
     def end(self) -> int:
@@ -31,7 +31,7 @@
         return self.first + len(self.records)
 
     def append(self, raw: bytes) -> None:
-        """Add a record: length of the key, key, value."""
+        """Append a record: length of the key, key, value."""
         key = raw[1 : 1 + raw[0]].decode()
         value = raw[1 + raw[0] :]
         if value:
@@ -39,11 +39,11 @@
         else:
             self.newest.pop(key, None)
         self.records.append(raw)
-        self.grown.set()
-        self.grown = trio.Event()
+        self.appended.set()
+        self.appended = trio.Event()
 
     def drop_history(self) -> None:
-        """Drop the history; the newest records stay."""
+        """Drop the history; the latest records are kept."""
         self.first = self.end
         self.records = []
 
@@ -67,35 +67,35 @@
     calls: int = 0
     unanswered: list[str] = attrs.field(factory=list)
     era: int | None = None
-    saved: dict[str, Topic] = attrs.field(factory=dict)
+    saved_topics: dict[str, Topic] = attrs.field(factory=dict)
 
     def save_copy(self) -> None:
-        """Copy all data, for ``restore_copy``."""
-        self.saved = {
+        """Save a copy of all data, for ``restore_copy``."""
+        self.saved_topics = {
             name: attrs.evolve(
                 topic,
                 records=list(topic.records),
                 newest=dict(topic.newest),
-                grown=trio.Event(),
+                appended=trio.Event(),
             )
             for name, topic in self.topics.items()
         }
 
     def restore_copy(self) -> None:
-        """Come back from the copy, in a new era; polls are answered."""
+        """Restore the copy in a new era; pending polls are answered."""
         before = list(self.topics.values())
-        self.topics = self.saved
+        self.topics = self.saved_topics
         self.save_copy()
         self.era = (self.era or 0) + 1
         for topic in before:
-            topic.grown.set()
+            topic.appended.set()
 
     def topic(self, name: str) -> Topic:
-        """A topic, made on first use."""
+        """A topic; created on first use."""
         return self.topics.setdefault(name, Topic())
 
     def put(self, topic: str, key: str, value: object) -> None:
-        """Write as operators and servers do; None drops the key."""
+        """Write as operators and servers do; None removes the key."""
         raw = b"" if value is None else json.dumps(value).encode()
         self.topic(topic).append(bytes((len(key),)) + key.encode() + raw)
 
@@ -144,7 +144,7 @@
         era = self.era
         if start == topic.end:
             with trio.move_on_after(int(query.get("waitMs", 0)) / 1000):
-                await topic.grown.wait()
+                await topic.appended.wait()
                 while self.delaying_polls:
                     await trio.sleep(0.01)
         if self.era != era:
