--- a/src/carawayward/forwarding/load_reports.py
+++ b/src/carawayward/forwarding/load_reports.py
@@ -178,7 +178,7 @@
         The end of a stream alone matters little to peers, and is sent with
         the next scheduled report.
         """
-        engine_load.add_own(self.loads, engine, change)
+        engine_load.add_own_load(self.loads, engine, change)
         if change.weight:
             self._trigger_reports()
 
--- a/src/carawayward/forwarding/rollout_state.py
+++ b/src/carawayward/forwarding/rollout_state.py
@@ -36,7 +36,7 @@
 class Run:
     """One attempt on a version, and whether its answer has been counted.
 
-    ``kind`` is its route and model, for which a usual latency is kept.
+    ``kind`` is its route and model, for which a latency baseline is kept.
     """
 
     rollout: "Rollout"
@@ -54,16 +54,16 @@
         progress = self.progress
         if progress.predicted_ms is not None:
             return canary.is_ttft_slow(answer_ms, progress.predicted_ms)
-        return self._get_usual().is_slow(answer_ms)
+        return self._get_baseline().is_slow(answer_ms)
 
-    def observe_latency(self, answer_ms: float) -> None:
-        """Learn the usual latency from a good answer of the old version."""
+    def record_latency(self, answer_ms: float) -> None:
+        """Record the latency of a good answer of the old version."""
         if not self.new and self.progress.predicted_ms is None:
-            self._get_usual().learn(answer_ms)
+            self._get_baseline().record_answer(answer_ms)
 
-    def _get_usual(self) -> canary.Usual:
-        return self.rollout.usual_latencies.setdefault(
-            self.kind, canary.Usual()
+    def _get_baseline(self) -> canary.LatencyBaseline:
+        return self.rollout.latency_baselines.setdefault(
+            self.kind, canary.LatencyBaseline()
         )
 
 
@@ -107,8 +107,8 @@
     tally_before_full_traffic: canary.Tally = canary.Tally()
     tallies: dict[str, canary.Tally] = attrs.field(factory=dict)
     peer_counts: dict[str, PeerCounts] = attrs.field(factory=dict)
-    usual_latencies: dict[tuple[str, str], canary.Usual] = attrs.field(
-        factory=dict
+    latency_baselines: dict[tuple[str, str], canary.LatencyBaseline] = (
+        attrs.field(factory=dict)
     )
     runs: set[Run] = attrs.field(factory=set)
 
--- a/src/carawayward/forwarding/rollouts.py
+++ b/src/carawayward/forwarding/rollouts.py
@@ -76,7 +76,7 @@
             early = rollout.compute_elapsed_part(now_ms) < canary.TRIAL_PART
             if new or early:
                 return new
-        if rollout.at_full_traffic and not canary.has_room(
+        if rollout.at_full_traffic and not canary.may_start_session(
             rollout.compute_elapsed_part(now_ms),
             rollout.order.duration_ms,
             rollout.sum_exposure(self.board.bounds),
@@ -98,7 +98,7 @@
             return 0.0
         part = rollout.compute_elapsed_part(now_ms)
         exposure = rollout.sum_exposure(self.board.bounds)
-        share = canary.find_share(part, rollout.verdict, exposure)
+        share = canary.compute_share(part, rollout.verdict, exposure)
         # After the switch to full traffic only a halt moves traffic back:
         # otherwise sessions would change their version a second time.
         if (
@@ -194,7 +194,7 @@
         """Count a successful answer, as a bad one if it was too slow."""
         slow = run.is_slow(answer_ms)
         if not slow:
-            run.observe_latency(answer_ms)
+            run.record_latency(answer_ms)
         self._count(run, bad=slow)
 
     def count_started_streams(self, rollout: rollout_state.Rollout) -> None:
--- a/tests/cover/test_forwarding_versions.py
+++ b/tests/cover/test_forwarding_versions.py
@@ -50,7 +50,7 @@
     for tick in range(ticks):
         part = tick / ticks
         known = new >= verdict_at
-        share = canary.find_share(
+        share = canary.compute_share(
             part,
             canary.Verdict.GOOD if known else canary.Verdict.UNKNOWN,
             canary.Exposure(
@@ -82,11 +82,11 @@
     """Up to half of the time only the trial; after a halt nothing."""
     exposure = canary.Exposure(share=0.9, slack=999, sent=500, sent_new=20)
     good = canary.Verdict.GOOD
-    assert canary.find_share(0.4, good, exposure) <= canary.MOST_SHARE
-    assert canary.find_share(0.6, good, exposure) == 1.0
+    assert canary.compute_share(0.4, good, exposure) <= canary.MAX_SHARE
+    assert canary.compute_share(0.6, good, exposure) == 1.0
     unknown, bad = canary.Verdict.UNKNOWN, canary.Verdict.BAD
-    assert canary.find_share(0.9, unknown, exposure) <= canary.MOST_SHARE
-    assert canary.find_share(0.9, bad, exposure) == 0.0
+    assert canary.compute_share(0.9, unknown, exposure) <= canary.MAX_SHARE
+    assert canary.compute_share(0.9, bad, exposure) == 0.0
 
 
 def test_completion_waits_for_what_runs_on_the_old_version():
@@ -102,12 +102,12 @@
 
 def test_time_is_slow_by_what_is_usual_and_by_what_callers_notice():
     """At a usual 10 ms, 45 ms is slow; at a usual 2 ms, 15 ms is not."""
-    usual = canary.Usual()
-    assert not usual.is_slow(500.0)
-    for _ in range(canary.LEAST_USUAL):
-        usual.learn(10.0)
-    assert not usual.is_slow(35.0) and usual.is_slow(45.0)
-    quick = canary.Usual(mean_ms=2.0, answers=10)
+    typical = canary.LatencyBaseline()
+    assert not typical.is_slow(500.0)
+    for _ in range(canary.MIN_BASELINE_ANSWERS):
+        typical.record_answer(10.0)
+    assert not typical.is_slow(35.0) and typical.is_slow(45.0)
+    quick = canary.LatencyBaseline(mean_ms=2.0, answers=10)
     assert not quick.is_slow(15.0)
 
 
@@ -125,18 +125,18 @@
     probes it the others avoid it, and a request that it accepts readmits it.
     """
     book = quarantine.Quarantine()
-    quarantine.record_unreached(book, "a", 0.0)
+    quarantine.record_unreachable(book, "a", 0.0)
     assert quarantine.list_quarantined(book, 100.0) == {"a"}
-    again_ms = quarantine.UNREACHED_MS
+    again_ms = quarantine.UNREACHABLE_MS
     assert not quarantine.list_quarantined(book, again_ms)
     quarantine.begin_try(book, "a", again_ms)
     assert quarantine.list_quarantined(book, again_ms) == {"a"}
     for _ in range(10):
-        quarantine.record_unreached(book, "a", 1_000.0)
-    late_ms = 1_000.0 + quarantine.LONGEST_MS
+        quarantine.record_unreachable(book, "a", 1_000.0)
+    late_ms = 1_000.0 + quarantine.MAX_PAUSE_MS
     assert quarantine.list_quarantined(book, late_ms - 1.0) == {"a"}
     assert not quarantine.list_quarantined(book, late_ms)
-    quarantine.record_taken(book, "a")
+    quarantine.record_accepted(book, "a")
     quarantine.begin_try(book, "a", 2_000.0)
     assert not quarantine.list_quarantined(book, 2_000.0)
 
@@ -147,7 +147,7 @@
     quarantine.record_declined(book, "a", 0.0)
     assert not quarantine.list_quarantined(book, quarantine.DECLINED_MS)
     quarantine.begin_try(book, "a", 60.0)
-    tried_ms = 60.0 + quarantine.DECLINING_MS
+    tried_ms = 60.0 + quarantine.DECLINED_TRY_MS
     assert quarantine.list_quarantined(book, tried_ms - 1.0) == {"a"}
     assert not quarantine.list_quarantined(book, tried_ms)
     for _ in range(5):
@@ -163,7 +163,7 @@
     requests for as long as operators took to notice.
     """
     good = canary.Verdict.GOOD
-    enough = canary.SETTLED_ANSWERS
+    enough = canary.COMPLETION_ANSWERS
     assert not canary.may_complete(3_000.0, good, 1.0, enough - 1, 0)
     assert canary.may_complete(3_000.0, good, 1.0, enough, 0)
     assert canary.may_complete(1_500.0, good, 1.0, 5, 0)
@@ -172,7 +172,9 @@
 def test_version_is_not_completed_by_one_answer_under_full_load():
     """A bad version was completed at the last moment on a single answer."""
     good = canary.Verdict.GOOD
-    assert not canary.may_complete(canary.FORCED_MS, good, 1.0, 1, 0)
+    assert not canary.may_complete(
+        canary.FORCED_COMPLETION_MS, good, 1.0, 1, 0
+    )
 
 
 def test_version_is_not_proven_on_a_route_that_it_hardly_served():
@@ -216,16 +218,16 @@
         exposure = canary.Exposure(
             share=0.15, slack=30.0, sent=sent, sent_new=sent_new
         )
-        known = sent_new >= canary.LEAST_ANSWERS
+        known = sent_new >= canary.MIN_ANSWERS
         verdict = canary.Verdict.GOOD if known else canary.Verdict.UNKNOWN
-        share = canary.find_share(part, verdict, exposure)
+        share = canary.compute_share(part, verdict, exposure)
         if share >= 1.0 and opened_s is None:
             opened_s = at_s
         sent += 1
         if opened_s is None:
             sent_new += draw.random() < share
             continue
-        room = canary.has_room(part, duration_s * 1000.0, exposure)
+        room = canary.may_start_session(part, duration_s * 1000.0, exposure)
         after += 1
         kept += not room
         sent_new += room
@@ -338,4 +340,4 @@
     rollout.state = facts.RolloutState.COMPLETED
     model = engine_load.LatencyModel()
     observe_first_token(rollouts, model, "v2")
-    assert model.base_ms > engine_load.FIRST_BASE_MS
+    assert model.base_ms > engine_load.INITIAL_BASE_MS
