--- a/src/carawayward/forwarding/load_reports.py
+++ b/src/carawayward/forwarding/load_reports.py
@@ -144,7 +144,7 @@
             return
 
     def list_delegate_candidates(self) -> list[str]:
-        """Peers of this failure domain that last reported a fresh table.
+        """Peers of this failure domain that last reported access to the store.
 
         The age of that report does not matter: with many peers reports are
         infrequent, and a client detects a failed delegate by itself.
@@ -164,7 +164,7 @@
     ) -> typing.Collection[str] | None:
         """The entry VMs of a failure domain; None before joining.
 
-        All known entry VMs if the failure domain has none.
+        All known entry VMs if none is known in the failure domain.
         """
         if not self.joined.is_set():
             return None
--- a/tests/cover/test_forwarding_load.py
+++ b/tests/cover/test_forwarding_load.py
@@ -1,7 +1,7 @@
-"""Decisions for forwarded routes at the worst load, replayed without sockets.
+"""Placement and escalation under heavy load, simulated without sockets.
 
-Engines here read prompts one after the other, as fast as real ones do, and
-let streams go on in between.
+Simulated engines process prompts one after the other at the speed of real
+ones, while their streams continue.
 """
 
 import heapq
@@ -23,38 +23,38 @@
 
 @attrs.define
 class Engine:
-    """When it will have read all that it has been sent."""
+    """An engine, and when it will have processed all its prompts."""
 
-    free_ms: float = 0.0
+    idle_at_ms: float = 0.0
 
 
 @attrs.define
-class Replay:
-    """A load on some engines: requests a second, with long-tailed prompts."""
+class Simulation:
+    """A load on some engines, with a long-tailed distribution of prompts."""
 
     engines: int
-    a_second: float
+    per_s: float
     seconds: float = 60.0
     hard: float = 0.5
     seed: int = 1
-    heads: list[float] = attrs.field(factory=list)
-    poor: int = 0
+    ttfts: list[float] = attrs.field(factory=list)
+    not_escalated: int = 0
 
     def make_prompts(self):
         """Arrival times and tokens; a few prompts are ten times the mean."""
         draw = random.Random(self.seed)
         now_ms = 0.0
         while now_ms < self.seconds * 1000:
-            now_ms += draw.expovariate(self.a_second) * 1000
+            now_ms += draw.expovariate(self.per_s) * 1000
             tokens = int(min(60_000, draw.lognormvariate(9.0, 1.0)))
             yield now_ms, max(200, tokens), draw.random() < self.hard
 
 
-def run(replay, place, escalate):
-    """Play a load; heads are the times to the text that callers see."""
+def run(simulation, place, escalate):
+    """Simulate a load and record the times to the first text of callers."""
     loads = engine_load.EngineLoads()
-    pace = engine_load.LatencyModel(BASE_MS, TOKEN_MS)
-    engines = [Engine() for _ in range(replay.engines)]
+    latency_model = engine_load.LatencyModel(BASE_MS, TOKEN_MS)
+    engines = [Engine() for _ in range(simulation.engines)]
     done: list[tuple[float, int, float]] = []
     draw = random.Random(7)
 
@@ -70,12 +70,12 @@
         index = place(loads, prompt, now_ms, draw)
         engine = engines[index]
         work = prompt.tokens * weight
-        engine.free_ms = max(now_ms, engine.free_ms) + work * TOKEN_MS
+        engine.idle_at_ms = max(now_ms, engine.idle_at_ms) + work * TOKEN_MS
         engine_load.add_own_load(loads, str(index), engine_load.Load(work, 1))
-        heapq.heappush(done, (engine.free_ms, index, work))
-        return engine.free_ms + BASE_MS
+        heapq.heappush(done, (engine.idle_at_ms, index, work))
+        return engine.idle_at_ms + BASE_MS
 
-    waiting = list(replay.make_prompts())
+    waiting = list(simulation.make_prompts())
     late: list[tuple[float, float, int]] = []
     while waiting or late:
         if late and (not waiting or late[0][0] <= waiting[0][0]):
@@ -84,26 +84,26 @@
                 loads.own.get(str(i), engine_load.Load()).weight
                 for i in range(len(engines))
             )
-            head_ms = engine_load.predict_ttft(pace, row + tokens)
+            ttft_ms = engine_load.predict_ttft(latency_model, row + tokens)
             names = [str(i) for i in range(len(engines))]
             mean = engine_load.compute_mean_weight(loads, names, now_ms)
             backlog_part = mean * TOKEN_MS / SHORTEST_MS
-            if escalate(20.0, backlog_part, head_ms / TARGET_MS):
-                replay.heads.append(send(now_ms, tokens, 1.0) - began_ms)
+            if escalate(20.0, backlog_part, ttft_ms / TARGET_MS):
+                simulation.ttfts.append(send(now_ms, tokens, 1.0) - began_ms)
             else:
-                replay.poor += 1
-                replay.heads.append(now_ms - began_ms)
+                simulation.not_escalated += 1
+                simulation.ttfts.append(now_ms - began_ms)
             continue
         now_ms, tokens, hard = waiting.pop(0)
-        head_ms = send(now_ms, tokens, SMALL_WEIGHT)
+        ttft_ms = send(now_ms, tokens, SMALL_WEIGHT)
         if hard:
-            heapq.heappush(late, (head_ms, now_ms, tokens))
+            heapq.heappush(late, (ttft_ms, now_ms, tokens))
         else:
-            replay.heads.append(head_ms - now_ms)
+            simulation.ttfts.append(ttft_ms - now_ms)
 
 
-def place_first(loads, prompt, now_ms, draw):
-    """By the decision that ships."""
+def place_by_tokens(loads, prompt, now_ms, draw):
+    """Place a prompt by the production decision."""
     names = [str(index) for index in range(5)]
     chosen = engine_load.choose(
         loads,
@@ -117,7 +117,7 @@
 
 
 def place_by_count(loads, prompt, now_ms, draw):
-    """By how many requests each engine has, whatever their length."""
+    """Place a prompt by each engine's number of requests only."""
     counts = [
         loads.own.get(str(index), engine_load.Load()).streams
         for index in range(5)
@@ -135,57 +135,59 @@
     return True
 
 
-def share_late(replay):
-    return sum(head > TARGET_MS for head in replay.heads) / len(replay.heads)
+def compute_late_share(simulation):
+    return sum(head > TARGET_MS for head in simulation.ttfts) / len(
+        simulation.ttfts
+    )
 
 
-def share_late_over_seeds(a_second, place, escalate):
+def compute_mean_late_share(per_s, place, escalate):
     shares = []
     for seed in (1, 2, 3):
-        replay = Replay(5, a_second, seed=seed)
-        run(replay, place, escalate)
-        shares.append(share_late(replay))
+        simulation = Simulation(5, per_s, seed=seed)
+        run(simulation, place, escalate)
+        shares.append(compute_late_share(simulation))
     return sum(shares) / len(shares)
 
 
-def test_long_prompts_are_spread_by_what_is_to_be_read():
-    """Long-tailed prompts at 0.85 of what five engines can read.
+def test_long_prompts_are_spread_by_outstanding_tokens():
+    """Long-tailed prompts at 0.85 of the capacity of five engines.
 
-    Placed by counts, a long prompt stands before short ones next to idle
-    engines: 0.13 of the first texts are late, 0.09 by tokens.
+    Placed by request counts, short prompts queue behind a long one next to
+    idle engines: 0.13 of the first texts are late, against 0.09 by tokens.
     """
-    by_tokens = share_late_over_seeds(10.5, place_first, always_escalate)
-    by_count = share_late_over_seeds(10.5, place_by_count, always_escalate)
+    by_tokens = compute_mean_late_share(10.5, place_by_tokens, always_escalate)
+    by_count = compute_mean_late_share(10.5, place_by_count, always_escalate)
     assert by_tokens < 0.8 * by_count
 
 
 def test_overload_keeps_first_texts_in_time():
-    """Twice as many hard requests as the engines can read prompts for.
+    """Twice as many hard requests as the engines have capacity for.
 
-    If all escalate, rows grow without bound and 0.92 of the first texts are
-    late; with the pressure watched 0.001 are, and a quarter of those that are
-    hard still gets the larger model's answer.
+    If all escalate, queues grow without bound and 0.92 of the first texts are
+    late. With escalation limited by the backlog 0.001 are, and a quarter of
+    the hard requests still get the larger model's answer.
     """
-    watched = Replay(5, 25.0)
-    unwatched = Replay(5, 25.0)
-    run(watched, place_first, escalate_by_backlog)
-    run(unwatched, place_first, always_escalate)
-    assert share_late(unwatched) > 0.8
-    assert share_late(watched) < 0.02
-    assert watched.poor < 0.4 * len(watched.heads)
+    controlled = Simulation(5, 25.0)
+    uncontrolled = Simulation(5, 25.0)
+    run(controlled, place_by_tokens, escalate_by_backlog)
+    run(uncontrolled, place_by_tokens, always_escalate)
+    assert compute_late_share(uncontrolled) > 0.8
+    assert compute_late_share(controlled) < 0.02
+    assert controlled.not_escalated < 0.4 * len(controlled.ttfts)
 
 
 def test_calm_load_gives_each_hard_request_the_larger_model():
-    """At a third of the capacity hardly anything is held back."""
-    calm = Replay(5, 4.0)
-    run(calm, place_first, escalate_by_backlog)
-    assert calm.poor < 0.03 * len(calm.heads)
+    """At a third of the capacity hardly any escalation is withheld."""
+    calm = Simulation(5, 4.0)
+    run(calm, place_by_tokens, escalate_by_backlog)
+    assert calm.not_escalated < 0.03 * len(calm.ttfts)
 
 
-def test_engine_that_keeps_the_prompt_is_preferred_until_it_is_busy():
-    """Requests about one thing come in a burst.
+def test_engine_that_has_cached_the_prompt_is_preferred_until_it_is_busy():
+    """A burst of requests shares a prompt part.
 
-    The engine that has read it takes them, but not behind a long row.
+    The engine that has it cached gets them, unless its queue is long.
     """
     loads = engine_load.EngineLoads()
     prompt = engine_load.Prompt(parts=((1, 8_000), (2, 500)))
@@ -198,8 +200,8 @@
     assert second is not None and second.name == "a"
 
 
-def test_part_behind_an_unkept_one_has_to_be_read():
-    """Engines keep a part only if all parts before it are kept too."""
+def test_part_after_an_uncached_one_has_to_be_processed():
+    """A cached part is usable only if all parts before it are cached too."""
     loads = engine_load.EngineLoads()
     prompt = engine_load.Prompt(parts=((1, 100), (2, 200), (3, 50)))
     engine_load.record_cached(loads, "a", [(2, 200)], 10_000)
@@ -208,8 +210,8 @@
     assert engine_load.count_unread(loads, "a", prompt) == 50
 
 
-def test_kept_parts_yield_when_the_memory_is_full():
-    """What was used longest ago is forgotten first."""
+def test_cached_parts_are_evicted_when_the_memory_is_full():
+    """The least recently used part is evicted first."""
     loads = engine_load.EngineLoads()
     for key in range(10):
         engine_load.record_cached(loads, "a", [(key, 100)], 1_000)
@@ -217,7 +219,7 @@
 
 
 def test_report_of_a_peer_that_has_failed_expires():
-    """A peer reported a long row and was killed; its requests are gone."""
+    """A peer reported a long queue and was killed; its requests are gone."""
     loads = engine_load.EngineLoads()
     report = {"a": engine_load.Load(50_000.0, 3)}
     engine_load.merge_peer_report(loads, "peer", report, 0.0)
@@ -229,7 +231,7 @@
 
 
 def test_sum_of_reports_is_that_of_the_last_of_each_peer():
-    """A sum that is kept up to date drifts from what peers reported."""
+    """A sum that is updated incrementally must not drift from the reports."""
     draw = random.Random(11)
     loads = engine_load.EngineLoads()
     last: dict[str, dict[str, engine_load.Load]] = {}
@@ -250,8 +252,8 @@
         assert abs(found.weight - weight) < 1.0
 
 
-def test_reports_that_come_seldom_count_for_longer():
-    """160 peers of other domains report every 4 s and look idle between."""
+def test_infrequent_reports_are_valid_for_longer():
+    """160 peers of other domains report every 4 s and seemed idle between."""
     peer = report_channels.Peer("vm", ("127.0.0.1", 1), "a", 0.0)
     least_ms = engine_load.PEER_REPORT_TTL_MS
     assert peer.compute_ttl_ms(least_ms) == least_ms
@@ -263,23 +265,23 @@
     assert peer.compute_ttl_ms(least_ms) == least_ms
 
 
-def test_pace_is_learned_from_long_rows_and_the_base_from_short_ones():
-    """Engines of another make than the first guess is for."""
-    pace = engine_load.LatencyModel()
+def test_token_cost_is_learned_from_long_queues_and_the_base_from_short_ones():
+    """Engines differ from those that the initial values are for."""
+    latency_model = engine_load.LatencyModel()
     for _ in range(80):
-        engine_load.observe_ttft(pace, 100.0, 300.0)
-        engine_load.observe_ttft(pace, 20_000.0, 300.0 + 20_000 * 0.1)
-    assert abs(pace.token_ms - 0.1) < 0.01
-    assert abs(pace.base_ms - 300.0) < 30.0
+        engine_load.observe_ttft(latency_model, 100.0, 300.0)
+        engine_load.observe_ttft(latency_model, 20_000.0, 300.0 + 20_000 * 0.1)
+    assert abs(latency_model.token_ms - 0.1) < 0.01
+    assert abs(latency_model.base_ms - 300.0) < 30.0
 
 
 def draw_lateness(draw):
-    """A first token's time over the usual; 15 in 100 meet lost packets."""
+    """A time to first token over the usual; 15 of 100 meet packet loss."""
     return 5.0 if draw.random() < 0.15 else draw.gauss(1.0, 0.2)
 
 
 def test_base_is_learned_from_a_dozen_prompts():
-    """Each of 195 entry VMs sees too few prompts to predict any right."""
+    """Each of 195 entry VMs sees few prompts, too few to predict well."""
     draw = random.Random(0)
     seen = sorted(draw_lateness(draw) for _ in range(10_000))
     wanted = seen[int(engine_load.BASE_QUANTILE * len(seen))]
@@ -296,34 +298,35 @@
         assert sum(errors) / len(errors) < 0.3, (base_ms, errors)
 
 
-def test_pace_is_not_learned_from_lost_packets():
-    """A third of the heads come six times later, over links that lose packets.
+def test_token_cost_is_not_learned_from_lost_packets():
+    """Links that lose packets delay a third of the first tokens sixfold.
 
-    The pace went to twice what engines do, and with it the pressure: hard
-    requests got the smallest model's answers on engines with nothing to do.
+    The learned cost of a token rose to twice the real one, and with it the
+    estimated backlog: hard requests got the smallest model's answers although
+    engines were idle.
     """
-    pace = engine_load.LatencyModel()
+    latency_model = engine_load.LatencyModel()
     draw = random.Random(3)
     seen = []
     for _ in range(400):
         factor = 6.0 if draw.random() < 0.33 else draw.uniform(0.8, 1.2)
         engine_load.observe_ttft(
-            pace, 20_000.0, 120.0 + 20_000 * 0.06 * factor
+            latency_model, 20_000.0, 120.0 + 20_000 * 0.06 * factor
         )
-        seen.append(pace.token_ms)
+        seen.append(latency_model.token_ms)
     assert sum(seen) / len(seen) < 0.08
     assert max(seen) < 0.1
 
 
-def test_engines_that_have_caught_up_hold_nothing_back():
-    """Three of six engines crash under a burst, and are back in two seconds.
+def test_engines_that_have_caught_up_do_not_limit_escalation():
+    """Three of six engines crash under a burst and recover within two seconds.
 
-    What was sent to them had been summed up and was taken to be unread for
-    six seconds more, in which hard requests got the smallest model's answers
-    from engines that came to the first text in 0.2 s. What has been read, and
-    what went down with an engine, is no backlog.
+    The work sent to them had been summed up and counted as outstanding for six
+    more seconds, in which hard requests got the smallest model's answers from
+    engines whose time to first token was 0.2 s. Prompts that were processed,
+    or lost with a crashed engine, are not backlog.
     """
-    pace = engine_load.LatencyModel(token_ms=0.06)
+    latency_model = engine_load.LatencyModel(token_ms=0.06)
     loads = engine_load.EngineLoads()
     names = [f"engine-{number}" for number in range(6)]
     for name in names:
@@ -331,7 +334,7 @@
 
     def compute_overload():
         weight = engine_load.compute_mean_weight(loads, names, 0.0)
-        part = weight * pace.token_ms / 1_000.0
+        part = weight * latency_model.token_ms / 1_000.0
         return escalation.compute_overload(part, 0.0).behind
 
     assert compute_overload() == 1.0
@@ -342,11 +345,11 @@
     assert compute_overload() == 0.0
 
 
-def test_backlog_is_held_against_the_shortest_target():
-    """Digests may wait 4 s, and questions beside them 1 s.
+def test_backlog_is_compared_with_the_shortest_target():
+    """Digests have a target of 4 s, questions on the same engines one of 1 s.
 
-    Held against the digests' own target, escalations made rows of 1 s, and
-    the questions came late.
+    Compared with the digests' own target, escalations led to queues of 1 s,
+    and the questions were late.
     """
     assert escalation.compute_overload(0.2, 0.0) == CALM
     assert 0.0 < escalation.compute_overload(0.5, 0.0).behind < 1.0
@@ -354,16 +357,16 @@
 
 
 def test_first_model_is_the_largest_where_nothing_could_follow():
-    """Without a second attempt a poor first answer could not be mended."""
+    """Without a second attempt a poor first answer cannot be improved."""
     assert escalation.choose_first(3, may_escalate=False, overload=CALM) == 2
     assert escalation.choose_first(3, may_escalate=True, overload=CALM) == 0
 
 
-def test_engines_that_are_behind_get_no_largest_model_to_begin_with():
-    """Three engines crash; their streams use the extra runs up.
+def test_overloaded_engines_do_not_start_with_the_largest_model():
+    """Three engines crash, and their streams use up the retry budget.
 
-    Half of all requests then began with the largest model, on the engines
-    that were left, and first texts of every kind came after 2 s.
+    Half of all requests then started with the largest model on the remaining
+    engines, and first texts of every kind came only after 2 s.
     """
     overload = escalation.compute_overload(escalation.HIGH_BACKLOG, 0.0)
     assert (
@@ -376,10 +379,10 @@
 
 
 def test_poor_answer_is_worse_than_a_late_one():
-    """The longest digests got the smallest model's answers, in time and poor.
+    """The longest digests got the smallest model's answers, timely but poor.
 
-    Cause: the larger model's text would have come late, and so no confidence
-    was low enough to ask for it.
+    Cause: the larger model's text would have been late, so no confidence was
+    low enough to escalate.
     """
     late = escalation.compute_overload(0.0, 2.0)
     assert escalation.choose_next(0, 3, 40.0, late) == 2
@@ -387,18 +390,18 @@
     assert escalation.choose_next(0, 3, 50.0, CALM) == 2
 
 
-def test_answer_without_opinion_is_kept():
-    """Not every model says what it thinks of its answer."""
+def test_answer_without_confidence_is_kept():
+    """Not every model reports a confidence in its answer."""
     assert escalation.choose_next(0, 3, None, CALM) is None
 
 
 def test_largest_model_has_none_after_it():
-    """The largest model is unsure too; there is nobody left to ask."""
+    """The largest model is unsure too, and there is none to escalate to."""
     assert escalation.choose_next(2, 3, 1.0, CALM) is None
 
 
-def choose_by(loads, remote_weight=0.0):
-    """Which of a near and a far engine takes a prompt of 1,000 tokens."""
+def choose_engine(loads, remote_weight=0.0):
+    """The engine, near or far, that is chosen for a prompt of 1,000 tokens."""
     chosen = engine_load.choose(
         loads,
         [
@@ -414,18 +417,20 @@
     return chosen.name
 
 
-def test_prompts_leave_the_failure_domain_only_for_what_callers_feel():
+def test_prompts_leave_the_failure_domain_only_for_a_noticeable_gain():
     """Half of all prompts crossed between domains to save 10 ms of 2 s.
 
-    What an engine elsewhere must be better by is a part of the target at the
-    pace that was learned, whatever that is.
+    A remote engine has to be faster by a part of the target, whatever cost of
+    a token was learned.
     """
     for token_ms in (0.01, 0.1):
-        pace = engine_load.LatencyModel(token_ms=token_ms)
-        remote_weight = engine_load.compute_remote_penalty(pace, 2_000.0)
+        latency_model = engine_load.LatencyModel(token_ms=token_ms)
+        remote_weight = engine_load.compute_remote_penalty(
+            latency_model, 2_000.0
+        )
         loads = engine_load.EngineLoads()
         load = engine_load.Load(80.0 / token_ms, 0)
         loads.own["near"] = load
-        assert choose_by(loads, remote_weight) == "near"
+        assert choose_engine(loads, remote_weight) == "near"
         loads.own["near"] = engine_load.Load(120.0 / token_ms, 0)
-        assert choose_by(loads, remote_weight) == "far"
+        assert choose_engine(loads, remote_weight) == "far"
