--- a/src/carawayward/forwarding/daemon.py
+++ b/src/carawayward/forwarding/daemon.py
@@ -28,8 +28,7 @@
 # Streams that are still open this long before the process would be killed are
 # cut off, so that their callers notice and the process exits by itself.
 STREAM_CUTOFF_MS = 600.0
-# Time to close the listeners: only connections without a request are left
-# then.
+# Time-out for closing the listeners, when only idle connections are left.
 LISTENERS_CLOSE_S = 0.3
 LOG_FLUSH_MS = 100.0
 METRICS_HEADERS = [(b"content-type", b"text/plain; version=0.0.4")]
--- a/src/carawayward/forwarding/rollout_state.py
+++ b/src/carawayward/forwarding/rollout_state.py
@@ -15,7 +15,7 @@
 from carawayward.forwarding import work_items
 
 # An entry VM whose statuses are older than this may have missed a halt: it
-# sends no session to the new version until it reads the store again.
+# sends no session to a version on trial until it reads the store again.
 MAX_STATUS_AGE_MS = 3_500.0
 
 
--- a/tests/failures/test_forwarding_rollouts.py
+++ b/tests/failures/test_forwarding_rollouts.py
@@ -10,7 +10,7 @@
 ORDER_S = 4.0
 
 
-def make_pool(always=None):
+def make_servers(always=None):
     """Two servers of the old and two of the new version."""
     return [
         backend.Backend(
@@ -31,7 +31,7 @@
     return json.loads(newest["rollout/desk"][1])
 
 
-def give_order(deployment, seconds=ORDER_S):
+def order_rollout(deployment, seconds=ORDER_S):
     order = {"service": "desk", "target": "v2", "durationS": seconds}
     deployment.store.put("keyed.op", "rollout/desk", order)
 
@@ -97,9 +97,9 @@
     """
 
     async def main():
-        desks = make_pool(always=backend.fail)
+        desks = make_servers(always=backend.fail)
         async with forwarding.open_forwarding(*desks) as deployment:
-            give_order(deployment, 6.0)
+            order_rollout(deployment, 6.0)
             with trio.move_on_after(5.0):
                 while read_status(deployment) is None or (
                     read_status(deployment)["state"] == "in_progress"
@@ -169,7 +169,7 @@
     """
 
     async def main():
-        desks = make_pool()
+        desks = make_servers()
         async with forwarding.open_forwarding(*desks) as deployment:
             names = [f"s-{number}" for number in range(60)]
             for desk in desks:
@@ -186,7 +186,7 @@
             await deployment.wait_for(
                 lambda: not any(e.leaving for e in places.values())
             )
-            give_order(deployment, 8.0)
+            order_rollout(deployment, 8.0)
             controller = deployment.find_controller(3)
             await deployment.wait_for(
                 lambda: "desk" in controller.rollouts.rollouts
@@ -213,9 +213,9 @@
     """
 
     async def main():
-        desks = make_pool()
+        desks = make_servers()
         async with forwarding.open_forwarding(*desks, daemons=2) as deployment:
-            give_order(deployment)
+            order_rollout(deployment)
             # Open requests end after the decision; what counts is the time at
             # which operators can read it.
             with trio.fail_after(ORDER_S):
@@ -245,9 +245,9 @@
     """
 
     async def main():
-        desks = make_pool(always=backend.fail)
+        desks = make_servers(always=backend.fail)
         async with forwarding.open_forwarding(*desks, daemons=2) as deployment:
-            give_order(deployment)
+            order_rollout(deployment)
             sent = await send_until_decided(deployment)
             assert read_status(deployment) == {
                 "state": "rolled_back",
@@ -274,11 +274,11 @@
     """
 
     async def main():
-        desks = make_pool()
+        desks = make_servers()
         async with forwarding.open_forwarding(*desks) as deployment:
             status = {"state": "rolled_back", "target": "v2"}
             deployment.store.put("keyed.status", "rollout/desk", status)
-            give_order(deployment, 60.0)
+            order_rollout(deployment, 60.0)
             await deployment.start_daemon()
             for _ in range(40):
                 await deployment.call("GET", "/look/", daemon=1)
@@ -296,9 +296,9 @@
     """
 
     async def main():
-        desks = make_pool()
+        desks = make_servers()
         async with forwarding.open_forwarding(*desks) as deployment:
-            give_order(deployment)
+            order_rollout(deployment)
             controller = deployment.find_controller(3)
             await deployment.wait_for(
                 lambda: "desk" in controller.rollouts.rollouts
@@ -345,10 +345,10 @@
     """
 
     async def main():
-        desks = make_pool()
+        desks = make_servers()
         async with forwarding.open_forwarding(*desks) as deployment:
             names = [f"s-{number}" for number in range(40)]
-            give_order(deployment, 8.0)
+            order_rollout(deployment, 8.0)
             controller = deployment.find_controller(3)
             await deployment.wait_for(
                 lambda: "desk" in controller.rollouts.rollouts
