--- a/src/carawayward/forwarding/assembly.py
+++ b/src/carawayward/forwarding/assembly.py
@@ -45,7 +45,7 @@
         ports.members,
         settings.listen.peers,
         fleet.loads,
-        fleet.find_memory,
+        fleet.find_cache_tokens,
     )
     fleet.cold_starts.list_members = reporter.list_domain_members
     freshness = freshness_module.FreshnessController(board, clock, reporter)
@@ -93,7 +93,11 @@
         # would not have been stopped either. Without this exception 13
         # requests that had lost their first engine failed within 6 s in a
         # failure domain that was cut off.
-        return not work.customer or work.ran or readiness.is_fresh()
+        return (
+            not work.customer
+            or work.earlier_may_have_run
+            or readiness.is_fresh()
+        )
 
     forwarder = exchange.Forwarder(
         clock,
--- a/src/carawayward/forwarding/rollout_rounds.py
+++ b/src/carawayward/forwarding/rollout_rounds.py
@@ -15,8 +15,8 @@
 from carawayward.decisions import turns
 from carawayward import errors
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
 from carawayward.forwarding import keyed_log
+from carawayward.forwarding import message_types
 from carawayward.forwarding import rollout_state
 from carawayward.forwarding import rollouts as rollouts_module
 from carawayward import supervision
@@ -60,13 +60,15 @@
     rollouts: rollouts_module.Rollouts
     statuses: keyed_log.KeyedLog
     decode_status: typing.Callable[
-        [keyed_log.Record], facts.RolloutStatus | None
+        [keyed_log.Record], message_types.RolloutStatus | None
+    ]
+    encode_status: typing.Callable[
+        [message_types.RolloutStatus], keyed_log.Record
     ]
-    encode_status: typing.Callable[[facts.RolloutStatus], keyed_log.Record]
     list_members: typing.Callable[[], typing.Iterable[str]]
     get_end: typing.Callable[[], int | None] = lambda: None
     request_read: typing.Callable[[int], None] = lambda end: None
-    latest: dict[str, facts.RolloutStatus] = attrs.field(factory=dict)
+    latest: dict[str, message_types.RolloutStatus] = attrs.field(factory=dict)
     pending_writes: dict[str, PendingWrite] = attrs.field(factory=dict)
     as_of_ms: float = board_module.NEVER
     restoring: bool = False
@@ -155,7 +157,7 @@
         await self._write(rollout, state, end, pending)
 
     def _schedule(
-        self, rollout: rollout_state.Rollout, state: facts.RolloutState
+        self, rollout: rollout_state.Rollout, state: message_types.RolloutState
     ) -> PendingWrite:
         """Schedule the write of ``state``, unless it is already scheduled."""
         service = rollout.order.service
@@ -176,13 +178,15 @@
     async def _write(
         self,
         rollout: rollout_state.Rollout,
-        state: facts.RolloutState,
+        state: message_types.RolloutState,
         end: int,
         pending: PendingWrite,
     ) -> None:
         """Write a status, provided that the log still ends at ``end``."""
         order = rollout.order
-        status = facts.RolloutStatus(order.service, order.version, state)
+        status = message_types.RolloutStatus(
+            order.service, order.version, state
+        )
         try:
             await self.statuses.append([self.encode_status(status)], end)
         except keyed_log.Conflict as fault:
@@ -200,7 +204,7 @@
 
     def _decide_state(
         self, rollout: rollout_state.Rollout
-    ) -> facts.RolloutState | None:
+    ) -> message_types.RolloutState | None:
         """Decide which state to write; None for none."""
         if not rollout.running:
             return rollout.state if self._is_lost(rollout) else None
@@ -209,7 +213,7 @@
         now_ms = self.clock.now_ms()
         part = rollout.compute_elapsed_part(now_ms)
         if rollout.verdict is canary.Verdict.BAD:
-            return facts.RolloutState.ROLLED_BACK
+            return message_types.RolloutState.ROLLED_BACK
         since_full_traffic = rollout.sum_since_full_traffic()
         may_complete = canary.may_complete(
             (1.0 - part) * rollout.order.duration_ms,
@@ -221,14 +225,14 @@
         if may_complete and canary.is_proven(
             rollout.sum_tallies(), since_full_traffic
         ):
-            return facts.RolloutState.COMPLETED
+            return message_types.RolloutState.COMPLETED
         if part > 1.0:
             # There is too little evidence for the new version, while the old
             # one is known to work.
-            return facts.RolloutState.ROLLED_BACK
+            return message_types.RolloutState.ROLLED_BACK
         if rollout.stored_state:
             return None
-        return facts.RolloutState.RUNNING
+        return message_types.RolloutState.RUNNING
 
     def _is_lost(self, rollout: rollout_state.Rollout) -> bool:
         """Whether the store lacks a decision that had taken effect.
@@ -239,7 +243,7 @@
         status = self.latest.get(order.service)
         if status is None or status.version != order.version:
             return True
-        return status.state is facts.RolloutState.RUNNING
+        return status.state is message_types.RolloutState.RUNNING
 
     def _end_restoring(self) -> None:
         """Clear ``restoring`` when the delay is over and nothing is lost."""
@@ -258,7 +262,7 @@
             read_ms = self.clock.now_ms() - age_ms
             rollout.status_read_ms = max(rollout.status_read_ms, read_ms)
 
-    def _apply_status(self, status: facts.RolloutStatus) -> None:
+    def _apply_status(self, status: message_types.RolloutStatus) -> None:
         rollout = self.rollouts.rollouts.get(status.service)
         if rollout is None or rollout.order.version != status.version:
             return
--- a/src/carawayward/forwarding/rollout_state.py
+++ b/src/carawayward/forwarding/rollout_state.py
@@ -10,7 +10,7 @@
 
 from carawayward.decisions import canary
 from carawayward.forwarding import board as board_module
-from carawayward.forwarding import facts
+from carawayward.forwarding import message_types
 from carawayward.forwarding import settings
 from carawayward.forwarding import work_items
 
@@ -93,9 +93,9 @@
     counts at the switch.
     """
 
-    order: facts.RolloutOrder
+    order: message_types.RolloutOrder
     began_ms: float
-    state: facts.RolloutState = facts.RolloutState.RUNNING
+    state: message_types.RolloutState = message_types.RolloutState.RUNNING
     status_known: bool = False
     verdict: canary.Verdict = canary.Verdict.UNKNOWN
     status_read_ms: float = board_module.NEVER
@@ -115,7 +115,7 @@
     @property
     def running(self) -> bool:
         """Whether the roll-out is still undecided."""
-        return self.state is facts.RolloutState.RUNNING
+        return self.state is message_types.RolloutState.RUNNING
 
     def compute_elapsed_part(self, now_ms: float) -> float:
         """The elapsed part of the roll-out's duration; above 1 when over."""
