--- a/src/carawayward/forwarding/load_report_messages.py
+++ b/src/carawayward/forwarding/load_report_messages.py
@@ -81,7 +81,7 @@
     """One load report.
 
     ``sender`` is the sender's number except in reports that introduce it.
-    ``stale`` says that the sender can no longer rely on its keys, or soon
+    ``stale`` means that the sender can no longer rely on its keys, or soon
     will not be able to. ``loads`` is its outstanding work, by the engine's
     hash. ``topics`` are values of other controllers.
     """
--- a/src/carawayward/forwarding/rollout_rounds.py
+++ b/src/carawayward/forwarding/rollout_rounds.py
@@ -190,7 +190,7 @@
         try:
             await self.statuses.append([self.encode_status(status)], end)
         except keyed_log.Conflict as fault:
-            # Another entry VM wrote in between; the next round decides anew.
+            # Another entry VM wrote in between; the next round decides again.
             self.request_read(fault.end)
         except errors.PlatformUnavailable:
             # Outages are logged by the feeds.
--- a/tests/cover/test_forwarding_versions.py
+++ b/tests/cover/test_forwarding_versions.py
@@ -45,7 +45,7 @@
     elapsed part at which it got full traffic.
     """
     sent = new = 0.0
-    opened_at = 1.0
+    full_traffic_at = 1.0
     ticks = int(duration_s * 20)
     for tick in range(ticks):
         part = tick / ticks
@@ -58,10 +58,10 @@
             ),
         )
         if share >= 1.0:
-            opened_at = min(opened_at, part)
+            full_traffic_at = min(full_traffic_at, part)
         sent += a_second / 20
         new += share * a_second / 20
-    return sent, new, opened_at
+    return sent, new, full_traffic_at
 
 
 def test_version_that_is_bad_only_under_full_load_meets_few():
@@ -73,9 +73,11 @@
     """
     for a_second in (2.0, 9.0, 30.0, 200.0):
         for duration_s in (12.0, 16.0, 24.0):
-            sent, new, opened_at = simulate_rollout(a_second, duration_s, 8)
+            sent, new, full_traffic_at = simulate_rollout(
+                a_second, duration_s, 8
+            )
             assert new <= 0.15 * sent + 30
-            assert (1.0 - opened_at) * duration_s >= 1.0
+            assert (1.0 - full_traffic_at) * duration_s >= 1.0
 
 
 def test_share_follows_the_verdict():
@@ -211,8 +213,8 @@
     """
     draw = random.Random(seed)
     times_s = sorted(draw.random() * duration_s for _ in range(requests))
-    sent = sent_new = kept = after = 0
-    opened_s = None
+    sent = sent_new = held_back = after = 0
+    full_traffic_s = None
     for at_s in times_s:
         part = at_s / duration_s
         exposure = canary.Exposure(
@@ -221,33 +223,33 @@
         known = sent_new >= canary.MIN_ANSWERS
         verdict = canary.Verdict.GOOD if known else canary.Verdict.UNKNOWN
         share = canary.compute_share(part, verdict, exposure)
-        if share >= 1.0 and opened_s is None:
-            opened_s = at_s
+        if share >= 1.0 and full_traffic_s is None:
+            full_traffic_s = at_s
         sent += 1
-        if opened_s is None:
+        if full_traffic_s is None:
             sent_new += draw.random() < share
             continue
         room = canary.may_start_session(part, duration_s * 1000.0, exposure)
         after += 1
-        kept += not room
+        held_back += not room
         sent_new += room
-    assert opened_s is not None
+    assert full_traffic_s is not None
     over = sent_new - (0.15 * sent + 30.0)
-    return over, duration_s - opened_s, kept / after
+    return over, duration_s - full_traffic_s, held_back / after
 
 
 def test_version_that_turns_bad_late_is_met_by_no_more_than_may():
     """A random surge: 98 requests met a bad version where 93 of 419 may."""
     for requests, duration_s in ((120, 16.0), (420, 18.5), (1_500, 16.0)):
-        kept = []
+        held_back = []
         for seed in range(300):
             over, left_s, share = simulate_late_version(
                 seed, requests, duration_s
             )
             assert over <= 0.0, (requests, seed, over)
             assert left_s > 0.3, (requests, seed, left_s)
-            kept.append(share)
-        assert sum(kept) / len(kept) < 0.1
+            held_back.append(share)
+        assert sum(held_back) / len(held_back) < 0.1
 
 
 def make_rollouts(duration_ms=20_000.0):
@@ -288,7 +290,10 @@
 
 
 def test_turns_of_many_writers_fit_into_the_time_left():
-    """Otherwise a roll-out would be completed too late."""
+    """Otherwise a roll-out would be completed too late.
+
+    After its end the turns are of full length again.
+    """
     names = [f"vm-{number}" for number in range(410)]
     for left_ms in (100.0, 400.0, 1_000.0):
         waits = [
