--- a/tests/failures/test_forwarding_eras.py
+++ b/tests/failures/test_forwarding_eras.py
@@ -246,7 +246,7 @@
             members = deployment.store.topic("keyed.members")
             await deployment.wait_for(lambda: len(members.newest) == 2)
             deployment.store.save_copy()
-            deployment.store.saved["keyed.members"] = store.Topic()
+            deployment.store.saved_topics["keyed.members"] = store.Topic()
             deployment.store.restore_copy()
             members = deployment.store.topic("keyed.members")
             await deployment.wait_for(lambda: len(members.newest) == 2)
