--- a/src/carawayward/daemon.py
+++ b/src/carawayward/daemon.py
@@ -26,11 +26,11 @@
 from carawayward import errors
 from carawayward import events
 from carawayward.gateway import app as app_module
-from carawayward.gateway import border
 from carawayward.gateway import dispatch
 from carawayward.gateway import endpoints as endpoints_module
 from carawayward.gateway import lifecycle as lifecycle_module
 from carawayward.gateway import lookups
+from carawayward.gateway import middleware
 from carawayward.gateway import once
 from carawayward.gateway import sessions
 from carawayward.gateway import streams
@@ -238,7 +238,7 @@
         for app, address, pair in (
             (callers_app, listen.callers, tls.callers),
             (
-                border.Border(
+                middleware.RequestMiddleware(
                     build_operators_app(self.pages, self.console), self.board
                 ),
                 listen.operators,
@@ -276,8 +276,8 @@
     return applications.Starlette(
         routes=[*pages.make_routes(), *console.make_routes()],
         exception_handlers={
-            errors.NotAuthenticated: app_module.show_not_authenticated,
-            errors.BadRequest: app_module._show_bad_request,
+            errors.NotAuthenticated: app_module.handle_not_authenticated,
+            errors.BadRequest: app_module.handle_bad_request,
         },
     )
 
--- a/src/carawayward/gateway/app.py
+++ b/src/carawayward/gateway/app.py
@@ -14,11 +14,11 @@
 from carawayward import declaration
 from carawayward import errors
 from carawayward import events
-from carawayward.gateway import border
+from carawayward.gateway import completion_reply
 from carawayward.gateway import lifecycle as lifecycle_module
 from carawayward.gateway import lookups as lookups_module
+from carawayward.gateway import middleware
 from carawayward.gateway import once as once_module
-from carawayward.gateway import relay
 from carawayward.gateway import replies
 from carawayward.gateway import requests
 from carawayward.gateway import sessions as sessions_module
@@ -41,7 +41,7 @@
     async def refuse_or_handle(
         api: "CallersApi", request: http_requests.Request
     ) -> responses.Response:
-        refusal = api.lifecycle.refuse_early()
+        refusal = api.lifecycle.refuse_admission()
         if refusal is not None:
             return replies.make_failure(refusal, "")
         return await handle(api, request)
@@ -64,7 +64,7 @@
         """What this entry VM believes."""
         return self.lifecycle.board
 
-    def build(self) -> border.Border:
+    def build(self) -> middleware.RequestMiddleware:
         """Make the ASGI application."""
         route = routing.Route
         self.once.listen(self._run_service)
@@ -85,14 +85,14 @@
                 ),
             ],
             exception_handlers={
-                errors.BadRequest: _show_bad_request,
-                errors.NotAuthenticated: show_not_authenticated,
+                errors.BadRequest: handle_bad_request,
+                errors.NotAuthenticated: handle_not_authenticated,
                 errors.InvalidToken: _show_invalid_token,
                 http_exceptions.HTTPException: _show_http_fault,
                 Exception: _show_unexpected,
             },
         )
-        return border.Border(inner, self.board)
+        return middleware.RequestMiddleware(inner, self.board)
 
     async def show_live(
         self, request: http_requests.Request
@@ -123,7 +123,7 @@
         if completion.session:
             pins = await self.sessions.read_pins(completion.session, customer)
         self.lookups.begin(customer.name, completion.request_key)
-        return relay.CompletionReply(
+        return completion_reply.CompletionReply(
             self.lifecycle, self.lookups.conclude, customer, completion, pins
         )
 
@@ -161,7 +161,7 @@
     ) -> responses.Response:
         """What became of a request, as far as it can be found out."""
         if self.board.config is None:
-            refusal = self.lifecycle.refuse_early()
+            refusal = self.lifecycle.refuse_admission()
             assert refusal is not None
             return replies.make_failure(refusal, "")
         customer = self._authenticate(request)
@@ -181,9 +181,9 @@
         self, request: http_requests.Request
     ) -> responses.Response:
         """Call a plain service, at most once if it may not be repeated."""
-        refusal = self.lifecycle.refuse_early()
+        refusal = self.lifecycle.refuse_admission()
         if refusal is not None:
-            if requests.may_be_resend(request):
+            if requests.may_be_retry(request):
                 return replies.make_failure(doubt_refusal(refusal), "")
             return replies.make_failure(refusal, "")
         customer = self._authenticate(request)
@@ -260,14 +260,14 @@
     )
 
 
-async def _show_bad_request(
+async def handle_bad_request(
     request: http_requests.Request, fault: Exception
 ) -> responses.Response:
     assert isinstance(fault, errors.BadRequest)
     return replies.make_bad_request(fault)
 
 
-async def show_not_authenticated(
+async def handle_not_authenticated(
     request: http_requests.Request, fault: Exception
 ) -> responses.Response:
     """The reply to whoever did not prove who it is."""
@@ -302,4 +302,4 @@
 async def _show_unexpected(
     request: http_requests.Request, fault: Exception
 ) -> responses.Response:
-    return border.make_unexpected()
+    return middleware.make_internal_error()
--- a/src/carawayward/gateway/lifecycle.py
+++ b/src/carawayward/gateway/lifecycle.py
@@ -39,7 +39,7 @@
     bills: billing_module.BillingController
     metrics: metrics_module.Metrics
 
-    def refuse_early(self) -> outcomes.NotRun | None:
+    def refuse_admission(self) -> outcomes.NotRun | None:
         """Why this entry VM takes no new work at all just now, if so."""
         if self.board.state is blackboard_module.NodeState.LEAVING:
             return outcomes.NotRun(
--- a/src/carawayward/gateway/lookups.py
+++ b/src/carawayward/gateway/lookups.py
@@ -16,8 +16,8 @@
 from carawayward import events
 from carawayward.gateway import handover
 from carawayward.gateway import once as once_module
+from carawayward.gateway import once_outcomes
 from carawayward.gateway import replies
-from carawayward.gateway import verdicts
 from carawayward import outcomes
 from carawayward.peers import hub as hub_module
 
@@ -119,7 +119,9 @@
             return max(answers, key=rank)
         if holder is not None:
             return replies.describe(
-                verdicts.make_lost("gives no answer just now")
+                once_outcomes.make_holder_unavailable(
+                    "gives no answer just now"
+                )
             )
         return None
 
--- a/src/carawayward/gateway/border.py
+++ b/src/carawayward/gateway/middleware.py
@@ -22,7 +22,7 @@
 
 
 @attrs.define(eq=False)
-class Border:
+class RequestMiddleware:
     """An ASGI application around the callers' API."""
 
     inner: types.ASGIApp
@@ -84,7 +84,7 @@
             detail=supervision.describe_fault(rest),
         )
         if not exchange.started:
-            reply = make_unexpected()
+            reply = make_internal_error()
             await reply(scope, receive, exchange.send)
 
 
@@ -106,7 +106,7 @@
         await self._send(message)
 
 
-def make_unexpected() -> responses.JSONResponse:
+def make_internal_error() -> responses.JSONResponse:
     """The reply to a request that met an unexpected fault."""
     return replies.make_problem(
         500, "unexpected fault", UNEXPECTED, not_run=False
--- a/src/carawayward/gateway/once.py
+++ b/src/carawayward/gateway/once.py
@@ -19,9 +19,9 @@
 from carawayward import events
 from carawayward.gateway import handover
 from carawayward.gateway import lifecycle as lifecycle_module
+from carawayward.gateway import once_outcomes
 from carawayward.gateway import replies
 from carawayward.gateway import requests
-from carawayward.gateway import verdicts
 from carawayward import outcomes
 from carawayward.peers import hub as hub_module
 from carawayward.protocol import claims
@@ -210,9 +210,9 @@
                 if not tickets.holds(self.book, holder, self.self_id):
                     return await self._relay(customer, call, holder)
             case claims_module.Expired(verdict):
-                return verdicts.explain_expired(verdict)
+                return once_outcomes.make_key_expired(verdict)
             case claims_module.NoClaim():
-                return verdicts.explain_no_claim(call)
+                return once_outcomes.make_no_claim(call)
         window_ms = self.claims.rules.window_ms
         right = f"key {key[0]} {key[1]}"
         expires_ms = call.made_ms + window_ms
@@ -316,9 +316,9 @@
         try:
             link = await self.hub.reach(name, self._find_timeout(call))
         except errors.PeerUnavailable:
-            return verdicts.make_lost("cannot be reached")
+            return once_outcomes.make_holder_unavailable("cannot be reached")
         if link.incarnation != incarnation:
-            return verdicts.make_lost("is gone")
+            return once_outcomes.make_holder_unavailable("is gone")
         body = {
             "customer": customer.name,
             "call": attrs.asdict(
@@ -331,7 +331,7 @@
         except errors.PeerUnavailable:
             answer = None
         if answer is None:
-            return verdicts.make_lost("gave no answer")
+            return once_outcomes.make_holder_unavailable("gave no answer")
         return replies.restore(answer)
 
     async def _run_relayed(self, peer: str, body: typing.Any) -> dict | None:
--- a/src/carawayward/gateway/verdicts.py
+++ b/src/carawayward/gateway/once_outcomes.py
@@ -8,7 +8,7 @@
 RETRY_AFTER_MS = 1_000
 
 
-def make_lost(detail: str) -> outcomes.Unknown:
+def make_holder_unavailable(detail: str) -> outcomes.Unknown:
     """The outcome when the only node that may know is out of reach."""
     return outcomes.Unknown(
         outcomes.Reason.TICKET_LOST,
@@ -18,7 +18,7 @@
     )
 
 
-def explain_expired(verdict: claims.Verdict) -> outcomes.Unknown:
+def make_key_expired(verdict: claims.Verdict) -> outcomes.Unknown:
     """The outcome for a key that may not be run.
 
     It is no refusal that says "not run": the key may have been run while
@@ -39,7 +39,7 @@
     )
 
 
-def explain_no_claim(
+def make_no_claim(
     call: requests.ServiceCall,
 ) -> outcomes.NotRun | outcomes.Unknown:
     """The outcome when the log gave no decision.
--- a/src/carawayward/gateway/requests.py
+++ b/src/carawayward/gateway/requests.py
@@ -167,7 +167,7 @@
     )
 
 
-def may_be_resend(request: http_requests.Request) -> bool:
+def may_be_retry(request: http_requests.Request) -> bool:
     """Whether an earlier attempt of a once-only call may have run.
 
     A caller that states its first attempt rules that out.
--- a/src/carawayward/gateway/sessions.py
+++ b/src/carawayward/gateway/sessions.py
@@ -21,7 +21,7 @@
 from carawayward.protocol import membership
 from carawayward.protocol import tokens
 
-SESSION_LIFE_MS = 86_400_000
+SESSION_TTL_MS = 86_400_000
 TOKEN_MOST_CHARS = 8_000
 NO_VERSION = ""
 BARE_ID_MOST_CHARS = 100
@@ -58,7 +58,7 @@
             customer=customer.name,
             pins=self._choose_pins(customer, session_id),
             revision=config.revision,
-            expires_ms=self.clock.wall_ms() + SESSION_LIFE_MS,
+            expires_ms=self.clock.wall_ms() + SESSION_TTL_MS,
         )
 
     async def read_pins(
--- a/tests/common/unguarded.py
+++ b/tests/common/unguarded.py
@@ -83,7 +83,7 @@
         dispatch.Dispatcher, "_recheck", lambda self, step: None
     ),
     "settle": replace(billing.BillingController, "settle", keep_bill),
-    "doubt": replace(requests, "may_be_resend", lambda request: False),
+    "doubt": replace(requests, "may_be_retry", lambda request: False),
     "stop": replace(stopping.PlannedStop, "run", return_at_once),
 }
 
--- a/tests/cover/test_sessions.py
+++ b/tests/cover/test_sessions.py
@@ -127,7 +127,7 @@
     other = "A" if signature[0] != "A" else "B"
     assert "forged" in read(f"{payload}.{other}{signature[1:]}")
     assert "characters" in read(token * 100)
-    clock.advance(sessions.SESSION_LIFE_MS + 1)
+    clock.advance(sessions.SESSION_TTL_MS + 1)
     assert "ended" in read(token)
 
 
