--- a/src/carawayward/gateway/app.py
+++ b/src/carawayward/gateway/app.py
@@ -1,4 +1,4 @@
-"""The callers' API as an ASGI application."""
+"""The HTTP API for callers, as an ASGI application."""
 
 import functools
 import typing
@@ -31,14 +31,14 @@
 ]
 
 
-def refuse_first(handle: Handler) -> Handler:
-    """Answer at once while this entry VM takes no work.
+def require_admission(handle: Handler) -> Handler:
+    """Reject requests while this entry VM accepts no work.
 
-    A handler without it would run on a node that is starting or leaving.
+    An undecorated handler also runs while the node is starting or leaving.
     """
 
     @functools.wraps(handle)
-    async def refuse_or_handle(
+    async def check_and_handle(
         api: "CallersApi", request: http_requests.Request
     ) -> responses.Response:
         refusal = api.lifecycle.refuse_admission()
@@ -46,12 +46,12 @@
             return replies.make_failure(refusal, "")
         return await handle(api, request)
 
-    return refuse_or_handle
+    return check_and_handle
 
 
 @attrs.define
 class CallersApi:
-    """Handlers of the callers' API."""
+    """Request handlers of the callers' API."""
 
     lifecycle: lifecycle_module.Lifecycle
     signer: tokens.Signer
@@ -61,11 +61,11 @@
 
     @property
     def board(self) -> blackboard_module.Blackboard:
-        """What this entry VM believes."""
+        """This entry VM's view of the deployment."""
         return self.lifecycle.board
 
     def build(self) -> middleware.RequestMiddleware:
-        """Make the ASGI application."""
+        """Register the peer handlers and return the ASGI application."""
         route = routing.Route
         self.once.listen(self._run_service)
         self.sessions.listen()
@@ -76,7 +76,7 @@
                 route("/readyz", self.show_ready),
                 route("/v1/chat/completions", self.complete, methods=["POST"]),
                 route("/v1/sessions", self.open_session, methods=["POST"]),
-                route("/v1/tickets", self.take_ticket, methods=["POST"]),
+                route("/v1/tickets", self.issue_ticket, methods=["POST"]),
                 route("/v1/requests/{key}", self.show_outcome),
                 route(
                     "/v1/services/{service}/{operation}",
@@ -87,9 +87,9 @@
             exception_handlers={
                 errors.BadRequest: handle_bad_request,
                 errors.NotAuthenticated: handle_not_authenticated,
-                errors.InvalidToken: _show_invalid_token,
-                http_exceptions.HTTPException: _show_http_fault,
-                Exception: _show_unexpected,
+                errors.InvalidToken: _handle_invalid_token,
+                http_exceptions.HTTPException: _handle_http_exception,
+                Exception: _handle_unexpected,
             },
         )
         return middleware.RequestMiddleware(inner, self.board)
@@ -97,24 +97,24 @@
     async def show_live(
         self, request: http_requests.Request
     ) -> responses.Response:
-        """Liveness: the process answers."""
+        """Liveness check: succeeds whenever the process can answer."""
         return responses.JSONResponse({"live": True, "name": self.board.name})
 
-    @refuse_first
+    @require_admission
     async def show_ready(
         self, request: http_requests.Request
     ) -> responses.Response:
-        """Readiness, for the platform's balancer."""
+        """Readiness check for the platform's load balancer."""
         assert self.board.config is not None
         return responses.JSONResponse(
             {"ready": True, "revision": self.board.config.revision}
         )
 
-    @refuse_first
+    @require_admission
     async def complete(
         self, request: http_requests.Request
     ) -> responses.Response:
-        """Answer a completion, streamed or whole."""
+        """Run a completion; the answer is streamed if so requested."""
         customer = self._authenticate(request)
         limits = self.lifecycle.settings.limits
         data = await requests.read_json(request, limits)
@@ -124,14 +124,18 @@
             pins = await self.sessions.read_pins(completion.session, customer)
         self.lookups.begin(customer.name, completion.request_key)
         return completion_reply.CompletionReply(
-            self.lifecycle, self.lookups.conclude, customer, completion, pins
+            self.lifecycle,
+            self.lookups.end_with_outcome,
+            customer,
+            completion,
+            pins,
         )
 
-    @refuse_first
+    @require_admission
     async def open_session(
         self, request: http_requests.Request
     ) -> responses.Response:
-        """Pin the customer's models for a session and return its token."""
+        """Open a session pinned to current versions; return its token."""
         customer = self._authenticate(request)
         session = self.sessions.open(customer)
         token = self.signer.sign(session)
@@ -145,11 +149,11 @@
             {"Carawayward-Session": token},
         )
 
-    @refuse_first
-    async def take_ticket(
+    @require_admission
+    async def issue_ticket(
         self, request: http_requests.Request
     ) -> responses.Response:
-        """Issue the right to run one request that may not be repeated."""
+        """Issue a ticket: permission to run one non-repeatable request."""
         customer = self._authenticate(request)
         ticket, expires_ms = self.once.issue(customer)
         return responses.JSONResponse(
@@ -159,7 +163,7 @@
     async def show_outcome(
         self, request: http_requests.Request
     ) -> responses.Response:
-        """What became of a request, as far as it can be found out."""
+        """Return the outcome of a request, as far as it is known."""
         if self.board.config is None:
             refusal = self.lifecycle.refuse_admission()
             assert refusal is not None
@@ -171,8 +175,8 @@
             return replies.make_problem(
                 404,
                 "not known",
-                "no entry VM that answers has seen the request; it may have "
-                "run on one that is gone",
+                "no reachable entry VM has a record of the request; it may "
+                "have run on one that is gone",
                 outcome="not-known",
             )
         return responses.JSONResponse(found)
@@ -180,11 +184,16 @@
     async def call_service(
         self, request: http_requests.Request
     ) -> responses.Response:
-        """Call a plain service, at most once if it may not be repeated."""
+        """Call a service; at most once if the operation is not repeatable.
+
+        An early refusal does not say "not run" if the call may be a retry.
+        """
         refusal = self.lifecycle.refuse_admission()
         if refusal is not None:
             if requests.may_be_retry(request):
-                return replies.make_failure(doubt_refusal(refusal), "")
+                return replies.make_failure(
+                    make_uncertain_refusal(refusal), ""
+                )
             return replies.make_failure(refusal, "")
         customer = self._authenticate(request)
         limits = self.lifecycle.settings.limits
@@ -195,7 +204,7 @@
             outcome = await self._run_service(customer, call)
         finally:
             self.lookups.end(customer.name, call.request_key)
-        self.lookups.note(customer.name, call.request_key, outcome)
+        self.lookups.record_outcome(customer.name, call.request_key, outcome)
         if isinstance(outcome, outcomes.Answered):
             return responses.JSONResponse(
                 outcome.text,
@@ -241,20 +250,21 @@
         if scheme.lower() != "bearer" or customer is None:
             raise errors.NotAuthenticated(
                 'send "Authorization: Bearer KEY" with a key that the '
-                "configuration in force knows"
+                "configuration in force lists"
             )
         return customer
 
 
-def doubt_refusal(refusal: outcomes.NotRun) -> outcomes.Unknown:
-    """What an early refusal says of a call that may have run elsewhere.
+def make_uncertain_refusal(refusal: outcomes.NotRun) -> outcomes.Unknown:
+    """Turn an early refusal of a possible retry into an unknown outcome.
 
-    This entry VM has not run it, but an attempt through another one may
-    have; its caller would take "not run" for leave to send it anew.
+    This entry VM has not run the call, but an earlier attempt through
+    another one may have. A caller that is told "not run" may send the call
+    again under a new ticket or key, which could run it twice.
     """
     return outcomes.Unknown(
         refusal.reason,
-        f"{refusal.remedy}, under the same ticket or key; an earlier attempt "
+        f"{refusal.remedy}, with the same ticket or key; an earlier attempt "
         "may have run",
         refusal.retry_after_ms,
     )
@@ -270,36 +280,36 @@
 async def handle_not_authenticated(
     request: http_requests.Request, fault: Exception
 ) -> responses.Response:
-    """The reply to whoever did not prove who it is."""
+    """Reply 401 to a request without a valid key."""
     events.log_event(events.Event.REQUEST_UNPROVEN, what="key")
     return replies.make_problem(
         401, "not authenticated", str(fault), not_run=True
     )
 
 
-async def _show_invalid_token(
+async def _handle_invalid_token(
     request: http_requests.Request, fault: Exception
 ) -> responses.Response:
     events.log_event(events.Event.REQUEST_UNPROVEN, what="token")
     return replies.make_problem(400, "invalid token", str(fault), not_run=True)
 
 
-async def _show_http_fault(
+async def _handle_http_exception(
     request: http_requests.Request, fault: Exception
 ) -> responses.Response:
-    """An unknown path or method, in the form of all other refusals."""
+    """Report an unknown path or method as an RFC 9457 problem."""
     assert isinstance(fault, http_exceptions.HTTPException)
     reply = replies.make_problem(
         fault.status_code,
         fault.detail.lower(),
-        "see docs/openapi.yaml for the paths and methods there are",
+        "see docs/openapi.yaml for the supported paths and methods",
         not_run=True,
     )
     reply.headers.update(fault.headers or {})
     return reply
 
 
-async def _show_unexpected(
+async def _handle_unexpected(
     request: http_requests.Request, fault: Exception
 ) -> responses.Response:
     return middleware.make_internal_error()
--- a/src/carawayward/gateway/completion_reply.py
+++ b/src/carawayward/gateway/completion_reply.py
@@ -1,8 +1,8 @@
-"""Sends a completion to its caller, and notices when the caller leaves.
+"""Sends a completion to its caller and cancels it on disconnect.
 
-A run is work on an accelerator. When its caller has gone, streamed or not,
-the run is cancelled at the engine instead of running to an end that nobody
-reads.
+A run occupies an accelerator. When its caller has disconnected, whether the
+answer is streamed or not, the run is cancelled at the engine instead of
+producing an answer that nobody reads.
 """
 
 import typing
@@ -18,19 +18,19 @@
 from carawayward.gateway import requests
 from carawayward import outcomes
 
-Note = typing.Callable[[str, str, outcomes.Outcome], None]
+RecordOutcome = typing.Callable[[str, str, outcomes.Outcome], None]
 
 
 @attrs.define(eq=False)
 class CompletionReply(responses.Response):
-    """A completion that runs while it is sent.
+    """A response that runs the completion while it is being sent.
 
-    Status and headers of a stream wait for the first piece of text, so that
-    a refusal still gets its own status.
+    The status and headers of a stream are sent with the first chunk of text,
+    so that a refusal before that still gets its own status.
     """
 
     lifecycle: lifecycle_module.Lifecycle
-    note: Note
+    record_outcome: RecordOutcome
     customer: declaration.Customer
     completion: requests.Completion
     pins: dict[str, str]
@@ -40,31 +40,31 @@
     async def __call__(
         self, scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
-        """Run the completion and send it as it comes."""
+        """Run the completion and send its text as it is produced."""
         fault: Exception | None = None
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch_caller, receive, nursery)
+            nursery.start_soon(self._cancel_on_disconnect, receive, nursery)
             try:
                 await self._run(scope, receive, send)
             except Exception as caught:
-                # Raised here it would come out wrapped in a group, which
-                # the handlers of typed errors do not know.
+                # The nursery would wrap it in an exception group, which the
+                # application's exception handlers do not match.
                 fault = caught
             finally:
-                self._record_outcome()
+                self._report_outcome()
             nursery.cancel_scope.cancel()
         if fault is not None:
             raise fault
 
-    def _record_outcome(self) -> None:
+    def _report_outcome(self) -> None:
         outcome = self.outcome or outcomes.Unknown(
             outcomes.Reason.CALLER_LEFT,
-            "the caller left while it ran; it may be sent again",
+            "the caller left while the request ran; it may be sent again",
         )
         key = self.completion.request_key
-        self.note(self.customer.name, key, outcome)
+        self.record_outcome(self.customer.name, key, outcome)
 
-    async def _watch_caller(
+    async def _cancel_on_disconnect(
         self, receive: types.Receive, nursery: trio.Nursery
     ) -> None:
         while (await receive())["type"] != "http.disconnect":
@@ -79,7 +79,7 @@
         encode = replies.make_chunk_encoder(key)
 
         async def write(text: str) -> None:
-            await self._begin(send)
+            await self._start_response(send)
             await _send_body(send, encode(text), True)
 
         outcome = await self.lifecycle.complete(
@@ -91,19 +91,19 @@
         self.outcome = outcome
         if not isinstance(outcome, outcomes.Answered):
             if self.started:
-                end = replies.encode_broken(key, outcome)
+                end = replies.encode_failure(key, outcome)
                 await _send_body(send, end, False)
             else:
                 failure = replies.make_failure(outcome, key)
                 await failure(scope, receive, send)
         elif self.completion.stream:
-            await self._begin(send)
+            await self._start_response(send)
             await _send_body(send, replies.encode_end(key, outcome), False)
         else:
             whole = replies.make_completion(outcome, key)
             await whole(scope, receive, send)
 
-    async def _begin(self, send: types.Send) -> None:
+    async def _start_response(self, send: types.Send) -> None:
         if self.started:
             return
         self.started = True
@@ -115,7 +115,7 @@
 
 
 async def _discard(text: str) -> None:
-    """The whole answer is sent from the outcome."""
+    """Ignore a chunk; the whole answer is sent from the outcome."""
 
 
 async def _send_body(send: types.Send, body: bytes, more: bool) -> None:
--- a/src/carawayward/gateway/handover.py
+++ b/src/carawayward/gateway/handover.py
@@ -1,9 +1,10 @@
-"""A leaving node hands its rights to one heir, once.
+"""Hand-over of a leaving node's rights to run requests to one peer, its heir.
 
-The heir is named in the leaving node's book before anything is sent, and
-that book only relays from then on; so a hand-over that is lost leaves the
-rights with nobody, whose callers get "unknown", and never with two. Marks
-go first and the right to speak for them last: an heir that got only some of
+A node hands over once. It records the heir in its book (see
+``protocol.tickets``) before it sends anything, and from then on only relays
+calls to the heir. If the hand-over is lost, nobody holds the rights and
+callers get "unknown"; two nodes never hold them. The marks of used rights
+are sent first and the list of issuers last: an heir that got only some of
 the marks must not take a used ticket for an unused one.
 """
 
@@ -18,13 +19,14 @@
 from carawayward.peers import hub as hub_module
 from carawayward.protocol import tickets
 
-MARKS_IN_MESSAGE = 500
-ANSWER_MOST_CHARS = 4_000
+MARKS_PER_MESSAGE = 500
+MAX_ANSWER_CHARS = 4_000
 HAND_OVER_TIMEOUT_MS = 2_000.0
-# A node that was heir often names only the newest in its member record, some
-# 30 bytes each; whoever has heard of older ones earlier still finds it.
-HEIR_OF_MOST = 24
-HEIRS_FOLLOWED = 8
+# A member record lists only the newest incarnations that its node took over,
+# at some 30 bytes each. Peers that learned of older ones before still relay
+# to the heir.
+MAX_HEIR_OF = 24
+MAX_HEIRS_FOLLOWED = 8
 
 NodeId = tuple[str, str]
 
@@ -34,28 +36,28 @@
     board: blackboard_module.Blackboard,
     book: tickets.Book,
 ) -> None:
-    """Take over what leaving peers hand to this node."""
+    """Register handlers that adopt the rights of leaving peers."""
 
-    async def take_marks(peer: str, body: typing.Any) -> bool:
-        given = tickets.HandOver(
+    async def adopt_marks(peer: str, body: typing.Any) -> bool:
+        handed_over = tickets.HandOver(
             issuers=frozenset(),
-            uses={right: read_use(row) for right, *row in body["marks"]},
+            uses={right: decode_use(row) for right, *row in body["marks"]},
         )
-        return tickets.adopt(book, given)
+        return tickets.adopt(book, handed_over)
 
-    async def take_issuers(peer: str, body: typing.Any) -> bool:
+    async def adopt_issuers(peer: str, body: typing.Any) -> bool:
         left = {(str(n), str(i)): int(ms) for n, i, ms in body["issuers"]}
-        given = tickets.HandOver(issuers=frozenset(left), uses={})
-        if not tickets.adopt(book, given):
+        handed_over = tickets.HandOver(issuers=frozenset(left), uses={})
+        if not tickets.adopt(book, handed_over):
             return False
         book.left_ms |= left
         newest = sorted(book.left_ms, key=lambda each: book.left_ms[each])
-        board.heir_of = tuple(newest[-HEIR_OF_MOST:])
+        board.heir_of = tuple(newest[-MAX_HEIR_OF:])
         events.log_event(events.Event.TICKETS_ADOPTED, of=peer)
         return True
 
-    hub.handle("tickets.marks", take_marks)
-    hub.handle("tickets.issuers", take_issuers)
+    hub.handle("tickets.marks", adopt_marks)
+    hub.handle("tickets.issuers", adopt_issuers)
 
 
 async def hand_over(
@@ -65,19 +67,21 @@
     self_id: NodeId,
     wall_ms: int,
 ) -> bool:
-    """Name an heir and send it all; whether it took everything."""
+    """Choose an heir and send it all rights; return whether it took all."""
     heir = choose_heir(hub, board)
-    given = tickets.name_heir(book, self_id, heir) if heir else None
-    if heir is None or given is None:
+    handed_over = tickets.name_heir(book, self_id, heir) if heir else None
+    if heir is None or handed_over is None:
         return False
     try:
-        marks = [[right, *write_use(u)] for right, u in given.uses.items()]
-        for first in range(0, len(marks), MARKS_IN_MESSAGE):
-            part = marks[first : first + MARKS_IN_MESSAGE]
+        marks = [
+            [right, *encode_use(u)] for right, u in handed_over.uses.items()
+        ]
+        for first in range(0, len(marks), MARKS_PER_MESSAGE):
+            part = marks[first : first + MARKS_PER_MESSAGE]
             await send(hub, heir, "tickets.marks", {"marks": part})
         issuers = [
             [*issuer, book.left_ms.get(issuer, wall_ms)]
-            for issuer in given.issuers
+            for issuer in handed_over.issuers
         ]
         await send(hub, heir, "tickets.issuers", {"issuers": issuers})
     except errors.PeerUnavailable as fault:
@@ -90,7 +94,7 @@
 async def send(
     hub: hub_module.PeerHub, heir: NodeId, kind: str, body: dict
 ) -> None:
-    """Send one part; raise PeerUnavailable unless the heir took it."""
+    """Send one message; raise PeerUnavailable unless the heir accepts it."""
     link = await hub.reach(heir[0])
     if link.incarnation != heir[1]:
         raise errors.PeerUnavailable(f"peer {heir[0]}: restarted")
@@ -101,7 +105,10 @@
 def choose_heir(
     hub: hub_module.PeerHub, board: blackboard_module.Blackboard
 ) -> NodeId | None:
-    """A linked peer that stays, of this failure domain if there is one."""
+    """Choose a linked peer that is not leaving, if there is one.
+
+    Peers of this failure domain are preferred.
+    """
     staying = [
         vm
         for vm in board.entry_vms.values()
@@ -116,18 +123,21 @@
     return staying[0].name, staying[0].incarnation
 
 
-def write_use(use: tickets.Use) -> list:
-    """Form of a mark between peers; a long answer is left out."""
+def encode_use(use: tickets.Use) -> list:
+    """Encode a mark for a peer, without its answer if that is long."""
     outcome = None
     if use.outcome is not None:
         described = replies.describe(use.outcome)
-        if len(str(described)) <= ANSWER_MOST_CHARS:
+        if len(str(described)) <= MAX_ANSWER_CHARS:
             outcome = described
     return [use.expires_ms, outcome]
 
 
-def read_use(row: list) -> tickets.Use:
-    """Read what ``write_use`` wrote; a run cannot be under way here."""
+def decode_use(row: list) -> tickets.Use:
+    """Decode a mark from ``encode_use``.
+
+    It is marked ended, since its run cannot be under way on this node.
+    """
     expires_ms, outcome = row
     return attrs.evolve(
         tickets.Use(expires_ms=int(expires_ms), ended=True),
@@ -138,8 +148,8 @@
 def follow_heirs(
     heirs: dict[tuple[str, str], tuple[str, str]], holder: tuple[str, str]
 ) -> tuple[str, str]:
-    """Who holds a leaving node's rights now, as far as is known here."""
-    for _ in range(HEIRS_FOLLOWED):
+    """Return who holds a node's rights now, as far as is known here."""
+    for _ in range(MAX_HEIRS_FOLLOWED):
         if holder not in heirs:
             break
         holder = heirs[holder]
--- a/src/carawayward/gateway/lifecycle.py
+++ b/src/carawayward/gateway/lifecycle.py
@@ -1,4 +1,4 @@
-"""A request's life between the border and the endpoints."""
+"""Runs a validated request: admission, planning, dispatch and billing."""
 
 import typing
 
@@ -30,7 +30,7 @@
 
 @attrs.define
 class Lifecycle:
-    """Runs requests; every path ends in exactly one outcome."""
+    """Runs requests; each one ends in exactly one outcome."""
 
     settings: settings_module.Settings
     board: blackboard_module.Blackboard
@@ -40,7 +40,7 @@
     metrics: metrics_module.Metrics
 
     def refuse_admission(self) -> outcomes.NotRun | None:
-        """Why this entry VM takes no new work at all just now, if so."""
+        """Return a refusal if this entry VM accepts no new work now."""
         if self.board.state is blackboard_module.NodeState.LEAVING:
             return outcomes.NotRun(
                 outcomes.Reason.LEAVING,
@@ -57,7 +57,7 @@
         if not self.bills.has_room():
             return outcomes.NotRun(
                 outcomes.Reason.NOT_BILLABLE,
-                "bills wait for the platform log; come back later",
+                "bills cannot be stored durably at present; retry later",
                 5 * RETRY_AFTER_MS,
             )
         return None
@@ -69,7 +69,7 @@
         pins: dict[str, str],
         on_text: OnText,
     ) -> outcomes.Outcome:
-        """Answer a completion within its deadline, and measure it."""
+        """Run a completion within its deadline and record its metrics."""
         watch = self.metrics.watch(customer.name, request.task)
 
         async def record_text(text: str) -> None:
@@ -77,7 +77,7 @@
             await on_text(text)
 
         outcome = await self._complete(customer, request, pins, record_text)
-        record_outcome(watch, outcome)
+        record_metrics(watch, outcome)
         return outcome
 
     async def _complete(
@@ -100,8 +100,8 @@
         if lost is not None:
             return outcomes.NotRun(
                 outcomes.Reason.VERSION_WITHDRAWN,
-                f"the session is settled on {lost}, which may not serve it "
-                "any more; open a new session",
+                f"the session is pinned to {lost}, which may no longer serve "
+                "it; open a new session",
             )
         deadline_ms = request.deadline_ms or task.deadline_ms
         deadline_ms = min(deadline_ms, self.settings.limits.max_deadline_ms)
@@ -111,20 +111,20 @@
         if not plan.steps:
             return outcomes.NotRun(
                 outcomes.Reason.VERSION_WITHDRAWN,
-                "no version is left for this session; open a new one",
+                "no version can serve this session; open a new one",
             )
-        frozen = session.find_unstartable_version(
+        unstartable = session.find_unstartable_version(
             [step.version for step in plan.steps],
             pins,
             config.versions,
             fresh,
         )
-        if frozen is not None:
+        if unstartable is not None:
             planning.release(self.board, plan, [])
             return outcomes.NotRun(
                 outcomes.Reason.NOT_READY,
-                f"{frozen} takes no new work here while this entry VM is cut "
-                "off; call another one",
+                f"{unstartable} accepts no new work while this entry VM is "
+                "cut off; call another one",
                 RETRY_AFTER_MS,
             )
         ends_ms = self.clock.now_ms() + deadline_ms
@@ -138,7 +138,7 @@
             self.board.running -= 1
         return outcomes.Unknown(
             outcomes.Reason.DEADLINE,
-            "the deadline passed while it ran; it may be sent again",
+            "the deadline passed while the request ran; it may be sent again",
         )
 
     async def _run_plan(
@@ -170,10 +170,12 @@
         input_tokens = output_tokens = 0
         for index, step in enumerate(plan):
             tried.append(step.version)
-            held: list[str] = []
+            buffer: list[str] = []
 
-            async def hold(text: str, held: list[str] = held) -> None:
-                held.append(text)
+            async def buffer_text(
+                text: str, buffer: list[str] = buffer
+            ) -> None:
+                buffer.append(text)
 
             last = step.accept_at is None
             began_ms = self.clock.now_ms()
@@ -183,7 +185,7 @@
                 step.version,
                 index,
                 ends_ms,
-                on_text if last else hold,
+                on_text if last else buffer_text,
                 buffered=not (last and request.stream),
             )
             if not isinstance(result, running.StepDone):
@@ -198,7 +200,7 @@
             if not last and end.confidence < (step.accept_at or 0.0):
                 continue
             if not last:
-                for text in held:
+                for text in buffer:
                     await on_text(text)
             answer = outcomes.Answered(
                 text=result.text,
@@ -210,7 +212,7 @@
                 plan=tuple(tried),
             )
             return await self._bill(customer, request.request_key, answer)
-        raise AssertionError("a plan ends with a step that always stands")
+        raise AssertionError("the last step of a plan must accept any answer")
 
     def _record_answer(
         self,
@@ -221,7 +223,7 @@
         done: running.StepDone,
         began_ms: float,
     ) -> None:
-        """Let a step's answer be rated and its time be learned."""
+        """Offer a step's answer for rating and record its duration."""
         config = self.board.config
         task = config.tasks.get(request.task) if config else None
         planning.record_answer(
@@ -255,11 +257,11 @@
         answer: outcomes.Answered,
         attempts: int = 1,
     ) -> outcomes.Outcome:
-        """Make the bill safe before the answer counts as whole.
+        """Store the bill durably before the answer counts as complete.
 
-        Without that, a crash right after the end marker would leave an
-        answer that nobody pays for. The bill goes on waiting for the log,
-        so what is returned in its place must not be "not run".
+        Otherwise a crash right after the end marker would leave an answer
+        that is never billed. A bill that could not be settled in time still
+        waits for the log, so the outcome then must not be "not run".
         """
         bill = billing.Bill(
             customer=customer.name,
@@ -276,7 +278,7 @@
         return outcomes.Interrupted(
             outcomes.Reason.NOT_BILLABLE,
             str(answer.text),
-            "the answer was given, but its bill could not be made safe; "
+            "the answer was given, but its bill could not be stored durably; "
             "look up the request before you send it again",
         )
 
@@ -287,7 +289,7 @@
         operation: declaration.Operation,
         pool: str,
     ) -> outcomes.Outcome:
-        """Call a plain service once, or refuse."""
+        """Call a service, bill the answer and record metrics."""
         watch = self.metrics.watch(customer.name, call.service)
         self.board.running += 1
         try:
@@ -295,22 +297,22 @@
                 customer, call, operation, pool
             )
             if isinstance(outcome, outcomes.Answered):
-                # A run that may not be repeated goes on after its caller's
-                # wait has ended, so its bill is given more time.
+                # A non-repeatable run continues after its caller has stopped
+                # waiting, so its bill gets more attempts.
                 attempts = 1 if operation.repeatable else BILL_ATTEMPTS
                 outcome = await self._bill(
                     customer, call.request_key, outcome, attempts
                 )
-            record_outcome(watch, outcome)
+            record_metrics(watch, outcome)
             return outcome
         finally:
             self.board.running -= 1
 
 
-def record_outcome(
+def record_metrics(
     watch: metrics_module.AnswerWatch, outcome: outcomes.Outcome
 ) -> None:
-    """Measure how a request ended."""
+    """Record the metrics of a finished request."""
     match outcome:
         case outcomes.Answered(plan=plan, cost=cost):
             watch.record_end("answered", "+".join(plan), cost)
--- a/src/carawayward/gateway/lookups.py
+++ b/src/carawayward/gateway/lookups.py
@@ -1,9 +1,9 @@
-"""What became of a request, wherever its caller asks.
+"""Looks up the outcome of a request from any entry VM.
 
-A node knows the requests that went through it and the runs that its book
-holds. It asks its linked peers for all others, within a bound, and the
-holder of a key's claim by name. "Not known" is no promise that it did not
-run: its node may be gone.
+A node knows the requests that it received and the runs in its book of
+tickets and keys. For others it asks a bounded number of linked peers, and
+also the holder of the key's claim. "Not known" does not mean that the
+request did not run: the node that ran it may be gone.
 """
 
 import typing
@@ -21,70 +21,73 @@
 from carawayward import outcomes
 from carawayward.peers import hub as hub_module
 
-# A caller who asks waits at most this long in all; peers are asked at once.
-ASK_TIMEOUT_MS = 800.0
-PEERS_ASKED_MOST = 16
-# Outcomes hold whole answers. The bound on their text keeps the store under
+# Bounds a whole look-up, since all peers are asked in parallel.
+PEER_TIMEOUT_MS = 800.0
+MAX_PEERS_ASKED = 16
+# Outcomes contain whole answers. The bound on their text keeps them under
 # 20 MB of the 64 MB that a node has for control and state.
-OUTCOMES_KEPT = 20_000
-TEXT_KEPT_CHARS = 16_000_000
+MAX_OUTCOMES = 20_000
+MAX_TEXT_CHARS = 16_000_000
 
 Key = tuple[str, str]
 
 
 @attrs.define
 class Lookups:
-    """Outcomes of the latest requests, and where to ask for others."""
+    """Keeps recent outcomes and asks peers for others.
+
+    ``running`` counts the attempts under way here for each request.
+    """
 
     board: blackboard_module.Blackboard
     hub: hub_module.PeerHub
     once: once_module.OnceGate
-    known: dict[Key, outcomes.Outcome] = attrs.field(factory=dict)
+    recent_outcomes: dict[Key, outcomes.Outcome] = attrs.field(factory=dict)
     running: dict[Key, int] = attrs.field(factory=dict)
-    _chars: int = 0
+    _text_chars: int = 0
 
     def listen(self) -> None:
-        """Answer peers' questions."""
-        self.hub.handle("outcome.show", self._answer)
+        """Answer look-ups of peers."""
+        self.hub.handle("outcome.show", self._handle_show)
 
     def begin(self, customer: str, request_key: str) -> None:
-        """Note that a request is under way here."""
+        """Record that an attempt of a request has begun here."""
         key = (customer, request_key)
         self.running[key] = self.running.get(key, 0) + 1
 
     def end(self, customer: str, request_key: str) -> None:
-        """Note that a request is no longer under way here."""
+        """Record that an attempt of a request has ended here."""
         key = (customer, request_key)
         left = self.running.pop(key, 1) - 1
         if left:
             self.running[key] = left
 
-    def conclude(
+    def end_with_outcome(
         self, customer: str, request_key: str, outcome: outcomes.Outcome
     ) -> None:
-        """Note that a request which ``begin`` was told of has ended."""
+        """Record the end of an attempt together with its outcome."""
         self.end(customer, request_key)
-        self.note(customer, request_key, outcome)
+        self.record_outcome(customer, request_key, outcome)
 
-    def note(
+    def record_outcome(
         self, customer: str, request_key: str, outcome: outcomes.Outcome
     ) -> None:
-        """Keep an outcome for look-ups and log the bad ones.
+        """Keep an outcome for look-ups; log it unless it is an answer.
 
-        What says less never replaces what is known of an earlier attempt.
+        An outcome of lower rank does not replace that of an earlier attempt.
         """
         key = (customer, request_key)
-        before = self.known.get(key)
-        if before is None or rank(replies.describe(before)) <= rank(
-            replies.describe(outcome)
+        before = self.recent_outcomes.get(key)
+        if before is None or rank_answer(
+            replies.describe(before)
+        ) <= rank_answer(replies.describe(outcome)):
+            self._evict(key)
+            self.recent_outcomes[key] = outcome
+            self._text_chars += count_chars(outcome)
+        while len(self.recent_outcomes) > MAX_OUTCOMES or (
+            self._text_chars > MAX_TEXT_CHARS and len(self.recent_outcomes) > 1
         ):
-            self._forget(key)
-            self.known[key] = outcome
-            self._chars += count_chars(outcome)
-        while len(self.known) > OUTCOMES_KEPT or (
-            self._chars > TEXT_KEPT_CHARS and len(self.known) > 1
-        ):
-            self._forget(next(iter(self.known)))
+            self._evict(next(iter(self.recent_outcomes)))
         match outcome:
             case outcomes.NotRun(reason):
                 event = events.Event.REQUEST_REFUSED
@@ -96,19 +99,19 @@
             event, customer=customer, request=request_key, reason=reason
         )
 
-    def _forget(self, key: Key) -> None:
-        outcome = self.known.pop(key, None)
+    def _evict(self, key: Key) -> None:
+        outcome = self.recent_outcomes.pop(key, None)
         if outcome is not None:
-            self._chars -= count_chars(outcome)
+            self._text_chars -= count_chars(outcome)
 
     async def find(self, customer: str, request_key: str) -> dict | None:
-        """What is known of a request, here or at peers; None if nothing."""
+        """Return what this node or peers know of a request, else None."""
         key = (customer, request_key)
-        found = self._find_here(key)
+        found = self._find_local(key)
         if is_final(found):
             return found
         answers = [found] if found else []
-        peers = list(self.hub.links)[:PEERS_ASKED_MOST]
+        peers = list(self.hub.links)[:MAX_PEERS_ASKED]
         holder = self.once.claims.find_holder(key)
         if holder is not None:
             name, _ = handover.follow_heirs(self.board.heirs, holder)
@@ -116,12 +119,10 @@
                 peers.append(name)
         answers += await self._ask_peers(key, peers)
         if answers:
-            return max(answers, key=rank)
+            return max(answers, key=rank_answer)
         if holder is not None:
             return replies.describe(
-                once_outcomes.make_holder_unavailable(
-                    "gives no answer just now"
-                )
+                once_outcomes.make_holder_unavailable("does not answer")
             )
         return None
 
@@ -131,7 +132,7 @@
         async def ask(peer: str) -> None:
             try:
                 answer = await self.hub.call(
-                    peer, "outcome.show", {"key": list(key)}, ASK_TIMEOUT_MS
+                    peer, "outcome.show", {"key": list(key)}, PEER_TIMEOUT_MS
                 )
             except errors.PeerUnavailable:
                 return
@@ -145,33 +146,34 @@
                 nursery.start_soon(ask, peer)
         return answers
 
-    def _find_here(self, key: Key) -> dict | None:
+    def _find_local(self, key: Key) -> dict | None:
         if key in self.running or self.once.is_running(key):
             return {"outcome": "running"}
-        outcome = self.known.get(key) or self.once.find_outcome(key)
+        outcome = self.recent_outcomes.get(key) or self.once.find_outcome(key)
         return None if outcome is None else replies.describe(outcome)
 
-    async def _answer(self, peer: str, body: typing.Any) -> dict | None:
+    async def _handle_show(self, peer: str, body: typing.Any) -> dict | None:
         customer, request_key = body["key"]
-        return self._find_here((customer, request_key))
+        return self._find_local((customer, request_key))
 
 
-def rank(answer: dict) -> int:
-    """How much an answer says; the strongest of several is shown.
+def rank_answer(answer: dict) -> int:
+    """Rank an answer by what it says; the highest of several is shown.
 
-    "Not run" is the weakest: it speaks of one attempt, another may run.
+    "Not run" is the lowest: it covers one attempt, and another may be
+    running.
     """
-    strength = {"answered": 4, "running": 3, "interrupted": 2, "unknown": 1}
-    return strength.get(answer["outcome"], 0)
+    ranks = {"answered": 4, "running": 3, "interrupted": 2, "unknown": 1}
+    return ranks.get(answer["outcome"], 0)
 
 
 def is_final(answer: dict | None) -> bool:
-    """Whether no other node can know more."""
+    """Whether no other node can have a more definite answer."""
     return answer is not None and answer["outcome"] == "answered"
 
 
 def count_chars(outcome: outcomes.Outcome) -> int:
-    """Characters that an outcome keeps in memory, roughly."""
+    """Return roughly how many characters an outcome keeps in memory."""
     match outcome:
         case outcomes.Answered(text=text):
             return len(str(text))
--- a/src/carawayward/gateway/middleware.py
+++ b/src/carawayward/gateway/middleware.py
@@ -1,9 +1,9 @@
-"""The outermost layer of the callers' API.
+"""ASGI middleware around the APIs for callers and operators.
 
-It counts the requests that are open, so that a planned stop can wait for
-the last byte of the last answer; it has callers leave their kept-alive
-connections while this entry VM leaves; and it turns what nobody expected
-into an answer that promises nothing.
+It counts open requests, so that a planned stop can wait until the last byte
+of the last answer has been sent. It closes keep-alive connections while this
+entry VM is leaving. It turns unexpected exceptions into a reply that does
+not claim that the request was not run.
 """
 
 import attrs
@@ -16,14 +16,14 @@
 from carawayward.gateway import replies
 from carawayward import supervision
 
-# Callers' headers hold a key, a session token or ticket and little else.
+# Callers send little more than an API key and a session token or ticket.
 MAX_HEADER_BYTES = 16_384
-UNEXPECTED = "an unexpected fault here; it may have run"
+INTERNAL_ERROR_DETAIL = "internal error; the request may have run"
 
 
 @attrs.define(eq=False)
 class RequestMiddleware:
-    """An ASGI application around the callers' API."""
+    """Wraps an ASGI application; ``open_requests`` are being served."""
 
     inner: types.ASGIApp
     board: blackboard_module.Blackboard
@@ -32,7 +32,7 @@
     async def __call__(
         self, scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
-        """Serve one request, or the server's own start and stop."""
+        """Serve one request; pass other ASGI scopes such as lifespan on."""
         if scope["type"] != "http":
             await self.inner(scope, receive, send)
             return
@@ -60,20 +60,20 @@
         try:
             await self.inner(scope, receive, exchange.send)
         except (Exception, BaseExceptionGroup) as fault:
-            await self._contain(fault, scope, receive, exchange)
+            await self._handle_exception(fault, scope, receive, exchange)
 
-    async def _contain(
+    async def _handle_exception(
         self,
         fault: BaseException,
         scope: types.Scope,
         receive: types.Receive,
         exchange: "_Exchange",
     ) -> None:
-        """Keep one request's fault from ending the connection's siblings.
+        """Log an exception and reply 500 if no reply has begun.
 
-        Uncaught, it would reach the server's nursery. Nothing is known of
-        how far the request came, so the answer does not say "not run". A
-        cancellation goes on to where it belongs.
+        Uncaught, it would reach the server's nursery and end other requests
+        too. How far the request got is unknown, so the reply does not say
+        "not run". Cancellations are raised again.
         """
         cancelled, rest = supervision.split_cancelled(fault)
         if rest is None or cancelled is not None:
@@ -90,24 +90,24 @@
 
 @attrs.define(eq=False)
 class _Exchange:
-    """One reply on its way out."""
+    """Sends one reply; ``started`` once its status has been sent."""
 
     board: blackboard_module.Blackboard
     _send: types.Send
     started: bool = False
 
     async def send(self, message: types.Message) -> None:
-        """Pass a message on; mark the last reply of a connection."""
+        """Send a message; add "Connection: close" while leaving."""
         if message["type"] == "http.response.start":
             self.started = True
             if self.board.state is blackboard_module.NodeState.LEAVING:
-                closing = (b"connection", b"close")
-                message["headers"] = [*message["headers"], closing]
+                close_header = (b"connection", b"close")
+                message["headers"] = [*message["headers"], close_header]
         await self._send(message)
 
 
 def make_internal_error() -> responses.JSONResponse:
-    """The reply to a request that met an unexpected fault."""
+    """Make the reply to a request that failed with an unexpected error."""
     return replies.make_problem(
-        500, "unexpected fault", UNEXPECTED, not_run=False
+        500, "unexpected fault", INTERNAL_ERROR_DETAIL, not_run=False
     )
--- a/src/carawayward/gateway/once.py
+++ b/src/carawayward/gateway/once.py
@@ -1,10 +1,11 @@
-"""Requests that may not be repeated run at most once.
-
-A ticket may be run only by the incarnation that issued it, and a key that
-its caller made only by the incarnation whose claim came first in the log.
-Either way that incarnation's book decides, in memory, before the first byte
-goes out. A lease would not do: a holder that is paused between its check and
-its send outlives any lease, and some endpoints ignore fencing tokens.
+"""Runs non-repeatable requests at most once.
+
+A right to run such a request is either a ticket or a caller's own key. Only
+the incarnation that issued a ticket may run it, and only the incarnation
+whose claim of a key came first in the log may run that key. In both cases
+the holder's book decides, in memory, before the first byte is sent. A lease
+would not be safe: a holder that is paused between its check and its send can
+outlive any lease, and some endpoints ignore fencing tokens.
 """
 
 import typing
@@ -30,10 +31,10 @@
 from carawayward import settings as settings_module
 from carawayward import supervision
 
-TICKET_LIFE_MS = 120_000
+TICKET_TTL_MS = 120_000
 RELAY_MARGIN_MS = 2_000
 RETRY_AFTER_MS = 1_000
-FORGET_INTERVAL_MS = 5_000.0
+PRUNE_INTERVAL_MS = 5_000.0
 
 RunService = typing.Callable[
     [declaration.Customer, requests.ServiceCall],
@@ -42,8 +43,8 @@
 
 
 @attrs.frozen
-class Job:
-    """A checked call and the right that it is presented under."""
+class OnceRun:
+    """A validated call and the right under which it is to run."""
 
     customer: declaration.Customer
     call: requests.ServiceCall
@@ -54,23 +55,23 @@
 
 
 @attrs.define
-class Running:
-    """A run under way; ``outcome`` stands once ``done`` is set."""
+class ActiveRun:
+    """A run under way; ``outcome`` is final once ``done`` is set."""
 
     outcome: outcomes.Outcome = outcomes.Unknown(
         outcomes.Reason.ENDPOINT_SILENT,
-        "the run was cut off; look before you send it again",
+        "the run was cut off; check whether it ran before you send it again",
     )
     done: trio.Event = attrs.field(factory=trio.Event)
 
 
 @attrs.define
 class OnceGate:
-    """Lets each right through once, here or at its holder.
+    """Runs each right at most once, on this node or at its holder.
 
-    ``run_service`` checks and runs a call that a peer relays. Runs belong
-    to the gate and not to the call that began them: a caller or a peer
-    link that goes away must not leave a run half known.
+    ``run_service`` validates and runs a call that a peer relays. Runs are
+    tasks of the gate rather than of the call that started them, so that a
+    caller or peer link that goes away does not lose a run's outcome.
     """
 
     lifecycle: lifecycle_module.Lifecycle
@@ -80,7 +81,7 @@
     rules: tickets.Rules = attrs.field(factory=tickets.Rules)
     run_service: RunService | None = None
     book: tickets.Book = attrs.field(factory=tickets.Book)
-    _running: dict[str, Running] = attrs.field(factory=dict)
+    _running: dict[str, ActiveRun] = attrs.field(factory=dict)
     _nursery: trio.Nursery | None = None
 
     @classmethod
@@ -92,13 +93,13 @@
         signer: tokens.Signer,
         claims_controller: claims_module.ClaimsController,
     ) -> "OnceGate":
-        """Make the gate with the times that all nodes share."""
+        """Create the gate with the clock skew that all nodes agree on."""
         rules = tickets.Rules(skew_ms=settings.agreed.clock_skew_ms)
         return cls(lifecycle, hub, signer, claims_controller, rules)
 
     @property
     def board(self) -> blackboard_module.Blackboard:
-        """What this entry VM believes."""
+        """This entry VM's view of the deployment."""
         return self.lifecycle.board
 
     @property
@@ -107,18 +108,18 @@
         return self.board.name, self.board.incarnation
 
     def listen(self, run_service: RunService) -> None:
-        """Take calls that peers relay to this holder."""
+        """Set the function that runs calls relayed by peers."""
         self.run_service = run_service
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to take relayed calls and leaving nodes' rights."""
+        """Register handlers for relayed calls and for rights handed over."""
         self._nursery = nursery
-        self.hub.handle("service.run", self._run_relayed)
+        self.hub.handle("service.run", self._handle_relayed_call)
         handover.listen(self.hub, self.board, self.book)
-        nursery.start_soon(self._forget_old)
+        nursery.start_soon(self._prune_periodically)
 
     async def close(self) -> None:
-        """Hand all rights to one heir."""
+        """Hand all rights over to one heir."""
         await handover.hand_over(
             self.hub,
             self.board,
@@ -132,7 +133,7 @@
         return f"key {key[0]} {key[1]}" in self._running
 
     def find_outcome(self, key: tuple[str, str]) -> outcomes.Outcome | None:
-        """The kept outcome of a run under (customer, request key)."""
+        """Return the kept outcome of a run under (customer, request key)."""
         use = self.book.uses.get(f"key {key[0]} {key[1]}")
         return use.outcome if use is not None else None
 
@@ -142,7 +143,7 @@
             customer.name,
             self.board.name,
             self.board.incarnation,
-            self.lifecycle.clock.wall_ms() + TICKET_LIFE_MS,
+            self.lifecycle.clock.wall_ms() + TICKET_TTL_MS,
         )
         return self.signer.sign(ticket), ticket.expires_ms
 
@@ -153,28 +154,29 @@
         operation: declaration.Operation,
         pool: str,
     ) -> outcomes.Outcome:
-        """Run a call that may not be repeated, or say what became of it.
+        """Run a non-repeatable call, or return what became of it.
 
-        The time within which it may be sent counts from here: a node that
-        is paused anywhere on the way, before its mark too, wakes too late.
+        The time limit for sending it starts here, so that a node that is
+        paused at any later point, even before it marks the right used, does
+        not send the call when it resumes after the limit.
         """
         if call.arrived_ms is None:
             arrived_ms = self.lifecycle.clock.wall_ms()
             call = attrs.evolve(call, arrived_ms=arrived_ms)
-        may_send = self._bound_dispatch(call)
+        may_send = self._make_send_check(call)
         call = attrs.evolve(call, may_send=may_send)
         if call.ticket:
-            return await self._run_ticket(customer, call, operation, pool)
+            return await self._run_with_ticket(customer, call, operation, pool)
         if call.made_ms is not None:
-            return await self._run_keyed(customer, call, operation, pool)
+            return await self._run_with_key(customer, call, operation, pool)
         raise errors.BadRequest(
             "Carawayward-Ticket",
             "nothing",
-            "this call may not be repeated: take a ticket first, or send "
+            "this operation is not repeatable: take a ticket first, or send "
             "Idempotency-Key with Carawayward-Key-Made-At",
         )
 
-    async def _run_ticket(
+    async def _run_with_ticket(
         self,
         customer: declaration.Customer,
         call: requests.ServiceCall,
@@ -186,14 +188,14 @@
             raise errors.InvalidToken("the ticket is another customer's")
         issuer = (ticket.issuer, ticket.incarnation)
         if not tickets.holds(self.book, issuer, self.self_id):
-            return await self._relay(customer, call, issuer)
+            return await self._relay_to_holder(customer, call, issuer)
         call = attrs.evolve(call, request_key=ticket.ticket_id)
         right = f"ticket {ticket.ticket_id}"
-        return await self._present(
-            Job(customer, call, operation, pool, right, ticket.expires_ms)
+        return await self._run_or_replay(
+            OnceRun(customer, call, operation, pool, right, ticket.expires_ms)
         )
 
-    async def _run_keyed(
+    async def _run_with_key(
         self,
         customer: declaration.Customer,
         call: requests.ServiceCall,
@@ -203,12 +205,12 @@
         assert call.made_ms is not None
         key = (customer.name, call.request_key)
         result = await self.claims.acquire(
-            key, call.made_ms, self._find_timeout(call)
+            key, call.made_ms, self._compute_timeout_ms(call)
         )
         match result:
             case claims_module.HeldBy(holder):
                 if not tickets.holds(self.book, holder, self.self_id):
-                    return await self._relay(customer, call, holder)
+                    return await self._relay_to_holder(customer, call, holder)
             case claims_module.Expired(verdict):
                 return once_outcomes.make_key_expired(verdict)
             case claims_module.NoClaim():
@@ -216,125 +218,141 @@
         window_ms = self.claims.rules.window_ms
         right = f"key {key[0]} {key[1]}"
         expires_ms = call.made_ms + window_ms
-        return await self._present(
-            Job(customer, call, operation, pool, right, expires_ms)
+        return await self._run_or_replay(
+            OnceRun(customer, call, operation, pool, right, expires_ms)
         )
 
-    async def _present(self, job: Job) -> outcomes.Outcome:
+    async def _run_or_replay(self, once_run: OnceRun) -> outcomes.Outcome:
         wall_ms = self.lifecycle.clock.wall_ms()
         decision = tickets.present(
-            self.book, job.right, job.expires_ms, wall_ms, self.rules
+            self.book, once_run.right, once_run.expires_ms, wall_ms, self.rules
         )
         match decision:
             case tickets.Run():
-                self._begin(job)
-                return await self._wait(job)
+                self._start_run(once_run)
+                return await self._wait_for_outcome(once_run)
             case tickets.Wait():
-                return await self._wait(job)
+                return await self._wait_for_outcome(once_run)
             case tickets.Relay(to):
-                return await self._relay(job.customer, job.call, to)
+                return await self._relay_to_holder(
+                    once_run.customer, once_run.call, to
+                )
             case tickets.Replay(outcome) | tickets.Refuse(outcome):
                 return outcome
 
-    def _begin(self, job: Job) -> None:
-        """Mark the right used, with no await since it was presented."""
+    def _start_run(self, once_run: OnceRun) -> None:
+        """Mark the right used and start the run.
+
+        There must be no await between presenting the right and this.
+        """
         assert self._nursery is not None
-        tickets.mark_used(self.book, job.right, job.expires_ms)
-        self._running[job.right] = Running()
-        self._nursery.start_soon(self._run, job)
+        tickets.mark_used(self.book, once_run.right, once_run.expires_ms)
+        self._running[once_run.right] = ActiveRun()
+        self._nursery.start_soon(self._execute, once_run)
 
-    def _bound_dispatch(
+    def _make_send_check(
         self, call: requests.ServiceCall
     ) -> typing.Callable[[], bool]:
-        """What is asked right before the first byte of a call.
+        """Return the check made right before a call's first byte is sent.
 
-        Counted from the call's arrival, here and at the entry VM that
-        relayed it: a process may be paused anywhere in between.
+        The limit is measured from the call's arrival both here and at the
+        entry VM that relayed it, since either process may have been paused
+        in between.
         """
         clock = self.lifecycle.clock
         rules = self.claims.rules
         limit, skew = rules.dispatch_within_ms, rules.skew_ms
-        here_ms, there_ms = clock.now_ms(), call.arrived_ms or 0
+        local_arrival_ms, first_arrival_ms = (
+            clock.now_ms(),
+            call.arrived_ms or 0,
+        )
 
         def may_send() -> bool:
             return claims.may_dispatch(
-                here_ms, clock.now_ms(), limit
+                local_arrival_ms, clock.now_ms(), limit
             ) and claims.may_dispatch(
-                there_ms - skew, clock.wall_ms(), limit + 2 * skew
+                first_arrival_ms - skew, clock.wall_ms(), limit + 2 * skew
             )
 
         return may_send
 
-    async def _run(self, job: Job) -> None:
-        """Run a marked right; no fault may leave this task.
+    async def _execute(self, once_run: OnceRun) -> None:
+        """Run a right that is marked used; no exception may leave this task.
 
-        Whatever looks after the daemon's tasks starts one that failed again,
-        and this one may have sent its call already.
+        The supervisor restarts failed tasks, and this one may already have
+        sent its call.
         """
-        running = self._running[job.right]
+        running = self._running[once_run.right]
         try:
             running.outcome = await self.lifecycle.call_service(
-                job.customer, job.call, job.operation, job.pool
+                once_run.customer,
+                once_run.call,
+                once_run.operation,
+                once_run.pool,
             )
         except Exception as fault:
             events.log_event(
                 events.Event.FAULT,
-                task="a run that may not be repeated",
+                task="non-repeatable run",
                 detail=supervision.describe_fault(fault),
             )
         finally:
-            tickets.end_use(self.book, job.right, running.outcome)
-            del self._running[job.right]
+            tickets.end_use(self.book, once_run.right, running.outcome)
+            del self._running[once_run.right]
             running.done.set()
 
-    async def _wait(self, job: Job) -> outcomes.Outcome:
-        """Wait for the run's outcome, not beyond this call's deadline."""
-        running = self._running.get(job.right)
+    async def _wait_for_outcome(self, once_run: OnceRun) -> outcomes.Outcome:
+        """Wait for the run's outcome until this call's deadline."""
+        running = self._running.get(once_run.right)
         if running is not None:
-            with trio.move_on_after(self._find_timeout(job.call) / 1000):
+            with trio.move_on_after(
+                self._compute_timeout_ms(once_run.call) / 1000
+            ):
                 await running.done.wait()
                 return running.outcome
         return outcomes.Unknown(
             outcomes.Reason.IN_PROGRESS,
-            "the first run is still under way; ask again under the same key",
+            "the first run is still under way; ask again with the same key",
             RETRY_AFTER_MS,
         )
 
-    def _find_timeout(self, call: requests.ServiceCall) -> float:
+    def _compute_timeout_ms(self, call: requests.ServiceCall) -> float:
         limits = self.lifecycle.settings.limits
-        most = limits.service_timeout_ms + RELAY_MARGIN_MS
-        return min(call.deadline_ms or most, most)
+        max_ms = limits.service_timeout_ms + RELAY_MARGIN_MS
+        return min(call.deadline_ms or max_ms, max_ms)
 
-    async def _relay(
+    async def _relay_to_holder(
         self,
         customer: declaration.Customer,
         call: requests.ServiceCall,
         holder: tuple[str, str],
     ) -> outcomes.Outcome:
-        """Hand a call to the right's holder; nobody else may run it."""
+        """Relay a call to the holder of its right, which alone may run it."""
         name, incarnation = handover.follow_heirs(self.board.heirs, holder)
         try:
-            link = await self.hub.reach(name, self._find_timeout(call))
+            link = await self.hub.reach(name, self._compute_timeout_ms(call))
         except errors.PeerUnavailable:
             return once_outcomes.make_holder_unavailable("cannot be reached")
         if link.incarnation != incarnation:
-            return once_outcomes.make_holder_unavailable("is gone")
+            return once_outcomes.make_holder_unavailable("has restarted")
         body = {
             "customer": customer.name,
             "call": attrs.asdict(
                 call, filter=lambda field, _: field.name != "may_send"
             ),
         }
-        timeout_ms = self._find_timeout(call) + RELAY_MARGIN_MS
+        timeout_ms = self._compute_timeout_ms(call) + RELAY_MARGIN_MS
         try:
             answer = await self.hub.call(name, "service.run", body, timeout_ms)
         except errors.PeerUnavailable:
             answer = None
         if answer is None:
-            return once_outcomes.make_holder_unavailable("gave no answer")
+            return once_outcomes.make_holder_unavailable("did not answer")
         return replies.restore(answer)
 
-    async def _run_relayed(self, peer: str, body: typing.Any) -> dict | None:
+    async def _handle_relayed_call(
+        self, peer: str, body: typing.Any
+    ) -> dict | None:
         config = self.board.config
         customer = config.customers.get(body["customer"]) if config else None
         if customer is None:
@@ -347,10 +365,10 @@
             return None
         return replies.describe(outcome)
 
-    async def _forget_old(self) -> None:
+    async def _prune_periodically(self) -> None:
         while True:
-            await self.lifecycle.clock.sleep(FORGET_INTERVAL_MS)
+            await self.lifecycle.clock.sleep(PRUNE_INTERVAL_MS)
             wall_ms = self.lifecycle.clock.wall_ms()
             tickets.forget_old(self.book, wall_ms, self.rules)
-            longest_ms = max(TICKET_LIFE_MS, self.claims.rules.window_ms)
-            tickets.forget_issuers(self.book, wall_ms, longest_ms, self.rules)
+            max_ttl_ms = max(TICKET_TTL_MS, self.claims.rules.window_ms)
+            tickets.forget_issuers(self.book, wall_ms, max_ttl_ms, self.rules)
--- a/src/carawayward/gateway/once_outcomes.py
+++ b/src/carawayward/gateway/once_outcomes.py
@@ -1,4 +1,4 @@
-"""What a caller is told about a call that may not be repeated."""
+"""Outcomes of non-repeatable calls that this node did not run."""
 
 from carawayward.controllers import claims as claims_module
 from carawayward.gateway import requests
@@ -9,29 +9,33 @@
 
 
 def make_holder_unavailable(detail: str) -> outcomes.Unknown:
-    """The outcome when the only node that may know is out of reach."""
+    """Make the outcome when the only node that may know is unavailable."""
     return outcomes.Unknown(
         outcomes.Reason.TICKET_LOST,
         f"the entry VM that holds this request {detail}; ask again, and "
-        "look before you send it anew",
+        "check whether it ran before you send it again",
         RETRY_AFTER_MS,
     )
 
 
 def make_key_expired(verdict: claims.Verdict) -> outcomes.Unknown:
-    """The outcome for a key that may not be run.
+    """Make the outcome for a key that this node may not run.
 
-    It is no refusal that says "not run": the key may have been run while
-    it was young, by a node whose claim has left the log since.
+    It does not say "not run": the key may have been run earlier, by a node
+    whose claim has since been dropped from the log.
     """
-    remedy = "the key is too old to be run; look before you send it anew"
+    remedy = (
+        "the key is too old to be run; check whether it ran before you send "
+        "the request again"
+    )
     retry_after_ms = None
     if verdict is claims.Verdict.FROM_FUTURE:
         remedy = "the key was made in the future; set the caller's clock"
     if verdict is claims.Verdict.NOT_COVERED:
         remedy = (
             "this entry VM has not read the claims of that time; ask "
-            "another, or look before you send it anew"
+            "another, or check whether the key ran before you send the "
+            "request again"
         )
         retry_after_ms = RETRY_AFTER_MS
     return outcomes.Unknown(
@@ -42,23 +46,23 @@
 def make_no_claim(
     call: requests.ServiceCall,
 ) -> outcomes.NotRun | outcomes.Unknown:
-    """The outcome when the log gave no decision.
+    """Make the outcome for a key whose claim the log did not decide.
 
-    This node has sent nothing. Whether another node ran the key before is
-    in the log only, so "not run" holds just for a caller that states this
-    is its first attempt; a claim that is in the log by then is this node's
-    and is run only when the caller comes back.
+    This node has sent nothing. Only the log shows whether another node ran
+    the key before, so "not run" is true only if the caller states that this
+    is its first attempt. A claim that reached the log all the same is this
+    node's own and is run only when the caller retries.
     """
     if call.first_attempt:
         return outcomes.NotRun(
             outcomes.Reason.NO_CLAIM,
-            "the platform log gave no claim; come back under the same key, "
-            "or take a ticket, which needs no log",
+            "the platform log did not decide the claim; retry with the same "
+            "key, or take a ticket, which needs no log",
             claims_module.RETRY_AFTER_MS,
         )
     return outcomes.Unknown(
         outcomes.Reason.NO_CLAIM,
-        "the platform log gave no claim, and an earlier attempt may have "
-        "run; come back under the same key",
+        "the platform log did not decide the claim, and an earlier attempt "
+        "may have run; retry with the same key",
         claims_module.RETRY_AFTER_MS,
     )
--- a/src/carawayward/gateway/replies.py
+++ b/src/carawayward/gateway/replies.py
@@ -1,4 +1,4 @@
-"""How outcomes and errors look to a caller over HTTP."""
+"""HTTP representations of outcomes and errors."""
 
 import hashlib
 import json
@@ -15,7 +15,7 @@
     (b"cache-control", b"no-store"),
 )
 
-_STATUS = {
+_STATUS_BY_REASON = {
     outcomes.Reason.OVERLOADED: 429,
     outcomes.Reason.NOT_ALLOWED: 403,
     outcomes.Reason.VERSION_WITHDRAWN: 409,
@@ -31,7 +31,7 @@
     retry_after_ms: int | None = None,
     **extra: typing.Any,
 ) -> responses.JSONResponse:
-    """A refusal in the form of RFC 9457."""
+    """Make an error response in the format of RFC 9457."""
     body = {"title": title, "status": status, "detail": detail, **extra}
     headers = {}
     if retry_after_ms is not None:
@@ -43,7 +43,7 @@
 
 
 def make_bad_request(fault: errors.BadRequest) -> responses.JSONResponse:
-    """The reply to a malformed request, and its event."""
+    """Log a malformed request and make the reply to it."""
     events.log_event(
         events.Event.REQUEST_BAD, field=fault.field, status=fault.status
     )
@@ -51,7 +51,7 @@
 
 
 def describe(outcome: outcomes.Outcome) -> dict:
-    """An outcome as plain values, for look-ups and between peers."""
+    """Convert an outcome to plain values, for look-ups and peers."""
     match outcome:
         case outcomes.Answered():
             return {
@@ -88,7 +88,11 @@
 
 
 def restore(data: dict) -> outcomes.Outcome:
-    """Read what ``describe`` wrote."""
+    """Convert the result of ``describe`` back to an outcome.
+
+    The text of an interrupted answer is not sent between peers; blanks of
+    the same length take its place.
+    """
     fields = {k: v for k, v in data.items() if k != "outcome"}
     if "reason" in fields:
         fields["reason"] = outcomes.Reason(fields["reason"])
@@ -103,17 +107,17 @@
         case "interrupted":
             partial = " " * fields.pop("length")
             return outcomes.Interrupted(partial=partial, **fields)
-    raise ValueError(f"no outcome: {data['outcome']!r}")
+    raise ValueError(f"not an outcome: {data['outcome']!r}")
 
 
 def make_failure(
     outcome: outcomes.Outcome, request_key: str
 ) -> responses.JSONResponse:
-    """The reply for any outcome but a whole answer."""
+    """Make the reply for any outcome other than a complete answer."""
     match outcome:
         case outcomes.NotRun(reason, remedy, retry_after_ms):
             return make_problem(
-                _STATUS.get(reason, 503),
+                _STATUS_BY_REASON.get(reason, 503),
                 "not run",
                 remedy,
                 retry_after_ms,
@@ -140,13 +144,13 @@
                 not_run=False,
                 request=request_key,
             )
-    raise AssertionError("a whole answer is no failure")
+    raise AssertionError("a complete answer is not a failure")
 
 
 def make_completion(
     answer: outcomes.Answered, request_key: str
 ) -> responses.JSONResponse:
-    """A whole answer in the shape that model clients expect."""
+    """Make an unstreamed answer in the usual chat completions format."""
     return responses.JSONResponse(
         {
             "id": request_key,
@@ -171,7 +175,7 @@
 
 
 def make_usage(answer: outcomes.Answered) -> dict:
-    """Token counts as model clients expect them."""
+    """Make the token counts of the usual chat completions format."""
     return {
         "prompt_tokens": answer.input_tokens,
         "completion_tokens": answer.output_tokens,
@@ -180,19 +184,22 @@
 
 
 def encode_text(text: str) -> bytes:
-    """A text's bytes; an engine may split a character between tokens."""
+    """Encode text that may hold lone surrogates.
+
+    An engine may split a character between two tokens.
+    """
     return text.encode("utf-8", "surrogatepass")
 
 
 def digest_text(text: str) -> str:
-    """SHA-256 of an answer's text, in hex."""
+    """Return the SHA-256 of an answer's text in hexadecimal."""
     return hashlib.sha256(encode_text(text)).hexdigest()
 
 
 def make_chunk_encoder(request_key: str) -> typing.Callable[[str], bytes]:
-    """A function that encodes the pieces of one streamed answer.
+    """Return a function that encodes the chunks of one streamed answer.
 
-    All but the text is the same for each piece and is encoded once.
+    Everything but the text is the same in each chunk and is encoded once.
     """
     body = {
         "id": request_key,
@@ -208,7 +215,7 @@
 
 
 def encode_end(request_key: str, answer: outcomes.Answered) -> bytes:
-    """The end marker; a stream without it is not whole."""
+    """Encode the end marker; a stream without it is incomplete."""
     body = {
         "id": request_key,
         "object": "chat.completion.chunk",
@@ -226,7 +233,7 @@
     return f"data: {json.dumps(body)}\n\ndata: [DONE]\n\n".encode()
 
 
-def encode_broken(request_key: str, outcome: outcomes.Outcome) -> bytes:
-    """The last event of a stream that is not whole."""
+def encode_failure(request_key: str, outcome: outcomes.Outcome) -> bytes:
+    """Encode the error event that ends an incomplete stream."""
     body = {"id": request_key, "error": describe(outcome)}
     return f"event: error\ndata: {json.dumps(body)}\n\n".encode()
--- a/src/carawayward/gateway/requests.py
+++ b/src/carawayward/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests, checked once at the border."""
+"""Parses and validates callers' requests."""
 
 import json
 import secrets
@@ -14,12 +14,12 @@
 MAX_KEY_LENGTH = 200
 MAX_TOKENS = 32_768
 MAX_MESSAGES = 1_000
-MAX_DEPTH = 32
+MAX_NESTING = 32
 
 
 @attrs.frozen(kw_only=True)
 class Completion:
-    """A checked request for a completion."""
+    """A validated request for a completion."""
 
     request_key: str
     task: str
@@ -32,12 +32,11 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceCall:
-    """A checked call of a plain service.
+    """A validated call of a service.
 
     ``made_ms`` is when the caller made its own key, ``arrived_ms`` when the
-    call reached the first entry VM (wall clocks).
-    ``may_send`` is asked right before the first byte of a call that may not
-    be repeated.
+    call reached the first entry VM (both wall clock). ``may_send`` is called
+    right before the first byte of a non-repeatable call is sent.
     """
 
     request_key: str
@@ -57,7 +56,7 @@
 async def read_json(
     request: http_requests.Request, limits: settings_module.Limits
 ) -> dict:
-    """Read a JSON object within bounds of size, time and depth."""
+    """Read a JSON object, limited in size, time and nesting depth."""
     body = bytearray()
     try:
         with trio.fail_after(limits.body_timeout_ms / 1000):
@@ -82,11 +81,11 @@
 
 
 def parse_json(body: bytes | bytearray) -> dict:
-    """Parse a JSON object; what is no such thing raises BadRequest."""
+    """Parse a JSON object; raise BadRequest for anything else."""
     try:
-        data = json.loads(body.decode(), parse_constant=_refuse_constant)
-        # Text with half a surrogate pair has no UTF-8, so that whatever
-        # encodes it later would fail.
+        data = json.loads(body.decode(), parse_constant=_reject_constant)
+        # A lone surrogate cannot be encoded in UTF-8; reject it here rather
+        # than fail wherever the text is encoded later.
         if b"\\ud" in body.lower():
             json.dumps(data, ensure_ascii=False).encode()
     except (ValueError, RecursionError):
@@ -97,21 +96,21 @@
         raise errors.BadRequest(
             "body", type(data).__name__, "send a JSON object"
         )
-    check_depth(data)
+    validate_depth(data)
     return data
 
 
-def _refuse_constant(name: str) -> typing.NoReturn:
+def _reject_constant(name: str) -> typing.NoReturn:
     raise ValueError(f"{name} is not JSON")
 
 
-def check_depth(data: object) -> None:
-    """Check how deep objects and lists stand in one another.
+def validate_depth(data: object) -> None:
+    """Reject deeply nested objects and lists.
 
-    Whatever walks such a value by recursion would run out of stack.
+    Code that traverses such a value recursively would exhaust the stack.
     """
     level: list[object] = [data]
-    for _ in range(MAX_DEPTH):
+    for _ in range(MAX_NESTING):
         level = [
             inner
             for value in level
@@ -127,15 +126,15 @@
         if not level:
             return
     raise errors.BadRequest(
-        "body", "deep nesting", f"nest at most {MAX_DEPTH} levels"
+        "body", "deep nesting", f"nest at most {MAX_NESTING} levels"
     )
 
 
-def read_key(request: http_requests.Request) -> str:
-    """The caller's key for this request, or a fresh one."""
+def read_request_key(request: http_requests.Request) -> str:
+    """Return the caller's key for this request, or a random one."""
     key = request.headers.get("Idempotency-Key", "")
-    plain = key.isascii() and key.isprintable()
-    if len(key) > MAX_KEY_LENGTH or not plain:
+    printable = key.isascii() and key.isprintable()
+    if len(key) > MAX_KEY_LENGTH or not printable:
         raise errors.BadRequest(
             "Idempotency-Key",
             f"{len(key)} characters",
@@ -147,16 +146,16 @@
 def read_service_call(
     request: http_requests.Request, data: dict
 ) -> ServiceCall:
-    """Check a service call's headers."""
-    made_ms = read_made_at(request)
+    """Build a service call from the path, body and validated headers."""
+    made_ms = read_key_made_at(request)
     if made_ms is not None and not request.headers.get("Idempotency-Key"):
         raise errors.BadRequest(
             "Idempotency-Key",
             "nothing",
-            "send the key that Carawayward-Key-Made-At speaks of",
+            "send the key that Carawayward-Key-Made-At refers to",
         )
     return ServiceCall(
-        request_key=read_key(request),
+        request_key=read_request_key(request),
         service=request.path_params["service"],
         operation=request.path_params["operation"],
         body=data,
@@ -168,19 +167,21 @@
 
 
 def may_be_retry(request: http_requests.Request) -> bool:
-    """Whether an earlier attempt of a once-only call may have run.
+    """Whether an earlier attempt of an at-most-once call may have run.
 
-    A caller that states its first attempt rules that out.
+    A caller rules that out by stating that this is its first attempt.
     """
-    named = any(
+    has_ticket_or_key = any(
         request.headers.get(name)
         for name in ("Carawayward-Ticket", "Carawayward-Key-Made-At")
     )
-    return named and request.headers.get("Carawayward-Attempt") != "1"
+    return (
+        has_ticket_or_key and request.headers.get("Carawayward-Attempt") != "1"
+    )
 
 
-def read_made_at(request: http_requests.Request) -> int | None:
-    """When the caller made its key, in ms since the epoch, if it says so."""
+def read_key_made_at(request: http_requests.Request) -> int | None:
+    """Return when the caller made its key, in ms since the epoch, if given."""
     text = request.headers.get("Carawayward-Key-Made-At")
     if text is None:
         return None
@@ -194,13 +195,13 @@
 
 
 def read_completion(request: http_requests.Request, data: dict) -> Completion:
-    """Check a completion's body and headers."""
+    """Validate a completion's body and headers."""
     return Completion(
-        request_key=read_key(request),
-        task=check_kind("model", data.get("model"), str),
-        messages=check_messages(data.get("messages")),
-        stream=check_kind("stream", data.get("stream", False), bool),
-        max_tokens=check_range(
+        request_key=read_request_key(request),
+        task=validate_type("model", data.get("model"), str),
+        messages=validate_messages(data.get("messages")),
+        stream=validate_type("stream", data.get("stream", False), bool),
+        max_tokens=validate_range(
             "max_tokens", data.get("max_tokens", 512), 1, MAX_TOKENS
         ),
         session=request.headers.get("Carawayward-Session", ""),
@@ -209,7 +210,7 @@
 
 
 def read_deadline(request: http_requests.Request) -> int | None:
-    """The caller's deadline in milliseconds from now, if it gave one."""
+    """Return the caller's deadline in milliseconds from now, if given."""
     text = request.headers.get("Carawayward-Deadline-Ms")
     if text is None:
         return None
@@ -220,8 +221,8 @@
     return int(text[:12])
 
 
-def check_messages(messages: object) -> list[dict]:
-    """Check a conversation."""
+def validate_messages(messages: object) -> list[dict]:
+    """Validate the messages of a conversation."""
     if not isinstance(messages, list) or not messages:
         raise errors.BadRequest(
             "messages", type(messages).__name__, "send a list of messages"
@@ -240,13 +241,13 @@
             raise errors.BadRequest(
                 f"messages[{index}]",
                 "a malformed message",
-                'send an object with the texts "role" and "content"',
+                'send an object with the strings "role" and "content"',
             )
     return messages
 
 
-def check_kind(field: str, value: object, kind: type) -> typing.Any:
-    """Check the type of a field."""
+def validate_type(field: str, value: object, kind: type) -> typing.Any:
+    """Validate the type of a field."""
     if not isinstance(value, kind):
         raise errors.BadRequest(
             field, type(value).__name__, f"send a {kind.__name__}"
@@ -254,12 +255,14 @@
     return value
 
 
-def check_range(field: str, value: object, least: int, most: int) -> int:
-    """Check a whole number's bounds."""
-    if type(value) is not int or not least <= value <= most:
+def validate_range(
+    field: str, value: object, minimum: int, maximum: int
+) -> int:
+    """Validate an integer and its bounds."""
+    if type(value) is not int or not minimum <= value <= maximum:
         raise errors.BadRequest(
             field,
             str(value)[:40],
-            f"send a whole number from {least} to {most}",
+            f"send an integer from {minimum} to {maximum}",
         )
     return value
