--- a/tests/common/asgi.py
+++ b/tests/common/asgi.py
@@ -1,4 +1,4 @@
-"""Calls an entry VM's application in process, without sockets."""
+"""Calls an entry VM's ASGI application in process, without sockets."""
 
 import json
 import pathlib
@@ -20,19 +20,19 @@
 
 @attrs.frozen
 class Reply:
-    """What the application answered."""
+    """The application's reply to a request."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def json(self) -> typing.Any:
-        """The decoded body."""
+        """Return the decoded body."""
         return json.loads(self.body)
 
 
 def make_daemon(**limits: int) -> daemon_module.Daemon:
-    """An entry VM that is ready, knows a declaration and no endpoint."""
+    """Make a ready entry VM with a configuration but no endpoints."""
     settings = settings_module.Settings.from_config(
         yaml.safe_dump(
             {
@@ -50,14 +50,14 @@
             }
         )
     )
-    made = daemon_module.Daemon.from_config(settings)
+    daemon = daemon_module.Daemon.from_config(settings)
     text = pathlib.Path("examples/oduya.yaml").read_text()
     read = declaration.Declaration.from_text(text)
-    made.board.config = blackboard.ConfigInForce.from_config(
+    daemon.board.config = blackboard.ConfigInForce.from_config(
         1, declaration.unstructure(read)
     )
-    made.board.state = blackboard.NodeState.READY
-    return made
+    daemon.board.state = blackboard.NodeState.READY
+    return daemon
 
 
 async def exchange(
@@ -67,18 +67,18 @@
     headers: typing.Sequence[tuple[bytes, bytes]] = (AUTH, JSON),
     body: typing.Sequence[bytes | None] = (b"",),
 ) -> Reply:
-    """Send one request; None in the body is where the caller leaves."""
-    pieces = list(body)
+    """Send one request; None in the body makes the caller disconnect."""
+    chunks = list(body)
     sent: list[dict] = []
 
     async def receive() -> dict:
-        if not pieces:
+        if not chunks:
             await trio.sleep_forever()
-        piece = pieces.pop(0)
-        if piece is None:
+        chunk = chunks.pop(0)
+        if chunk is None:
             return {"type": "http.disconnect"}
-        more = bool(pieces)
-        return {"type": "http.request", "body": piece, "more_body": more}
+        more = bool(chunks)
+        return {"type": "http.request", "body": chunk, "more_body": more}
 
     async def send(message: dict) -> None:
         sent.append(message)
@@ -113,7 +113,7 @@
 
 
 def call(app: typing.Any, *arguments: typing.Any, **more: typing.Any) -> Reply:
-    """``exchange`` in a run of its own, bounded."""
+    """Call ``exchange`` in a trio run of its own, for at most 20 s."""
 
     async def run() -> Reply:
         with trio.fail_after(20):
--- a/tests/common/unguarded.py
+++ b/tests/common/unguarded.py
@@ -1,6 +1,7 @@
-"""Runs the daemon with guards taken away, to show what they guard against.
+"""Runs the daemon with safety checks disabled.
 
-``python -m tests.common.unguarded GUARD[,GUARD...] --settings FILE``: the
+Tests use it to show that they fail without a check. Usage:
+``python -m tests.common.unguarded GUARD[,GUARD...] --settings FILE``. The
 shipped code has no such switches.
 """
 
@@ -21,24 +22,27 @@
 
 
 def pause_after_mark() -> None:
-    """No guard but a fault: stop the process between mark and send."""
+    """Stop the process between marking a right used and sending the call.
+
+    This injects a fault rather than removing a guard.
+    """
     mark_used = tickets.mark_used
 
-    def mark_and_pause(*words: typing.Any) -> None:
-        mark_used(*words)
+    def mark_used_and_pause(*arguments: typing.Any) -> None:
+        mark_used(*arguments)
         os.kill(os.getpid(), signal.SIGSTOP)
 
-    replace(tickets, "mark_used", mark_and_pause)()
+    replace(tickets, "mark_used", mark_used_and_pause)()
 
 
 def ignore_leaving() -> None:
-    """Take a leaving endpoint for one that stays."""
+    """Treat leaving endpoints as staying."""
     initialize = blackboard.Endpoint.__init__
 
-    def stay(self: typing.Any, **fields: typing.Any) -> None:
+    def init_staying(self: typing.Any, **fields: typing.Any) -> None:
         initialize(self, **{**fields, "leaving": False})
 
-    blackboard.Endpoint.__init__ = stay  # type: ignore[method-assign]
+    blackboard.Endpoint.__init__ = init_staying  # type: ignore[method-assign]
 
 
 def ignore_pins() -> None:
@@ -50,7 +54,7 @@
 
 
 def allow_all() -> None:
-    """Plan with every model, whatever the customer may use."""
+    """Plan with every model, including those the customer may not use."""
     make_plan = cascade.make_plan
     cascade.make_plan = lambda task, models, allowed, pins: make_plan(
         task, models, frozenset(models), pins
@@ -58,16 +62,18 @@
 
 
 def replace(owner: object, name: str, value: object) -> typing.Callable:
-    """Something that puts another value in a guard's place."""
+    """Return a function that replaces an attribute with ``value``."""
     return lambda: setattr(owner, name, value)
 
 
-async def return_at_once(*words: typing.Any, **named: typing.Any) -> None:
-    """In place of something that waits."""
+async def return_at_once(
+    *arguments: typing.Any, **keywords: typing.Any
+) -> None:
+    """Return without waiting; replaces a coroutine function that waits."""
 
 
 async def keep_bill(self: billing.BillingController, bill: typing.Any) -> bool:
-    """Keep a bill in this process alone, and say that it is safe."""
+    """Keep a bill in this process only, but report it as safe."""
     self.waiting[bill.key] = bill
     return True
 
@@ -78,7 +84,7 @@
     "pins": ignore_pins,
     "allowed": allow_all,
     "woken": replace(claims, "may_dispatch", lambda *times: True),
-    "mark": replace(tickets, "present", lambda *words: tickets.Run()),
+    "mark": replace(tickets, "present", lambda *arguments: tickets.Run()),
     "recheck": replace(
         dispatch.Dispatcher, "_recheck", lambda self, step: None
     ),
@@ -89,7 +95,7 @@
 
 
 def main() -> None:
-    """Take the named guards away and run the daemon."""
+    """Disable the named guards and run the daemon."""
     for name in sys.argv.pop(1).split(","):
         GUARDS[name]()
     daemon.main()
--- a/tests/cover/test_claims_gate.py
+++ b/tests/cover/test_claims_gate.py
@@ -1,4 +1,4 @@
-"""The gate runs a right once, also when the run meets a fault."""
+"""The gate runs a right at most once, even if the run fails."""
 
 import typing
 
@@ -23,18 +23,18 @@
 OPERATION = declaration.Operation(name="log-swap", repeatable=False)
 
 
-class SilentHub:
-    """A hub without peers."""
+class NoPeers:
+    """The hub of a node without peers."""
 
     links: dict = {}
 
     def handle(self, kind, handler):
-        """Nobody will call."""
+        """Ignore the handler, since no peer calls it."""
 
 
 @attrs.define
-class FaultyLifecycle:
-    """Sends a call, then meets a fault that nobody expected."""
+class FailingLifecycle:
+    """Sends a call, then raises an unexpected error."""
 
     board: blackboard_module.Blackboard
     clock: typing.Any
@@ -44,12 +44,15 @@
     tasks_left: int = 0
 
     async def call_service(self, customer, call, operation, pool):
-        """Count the sending, then fail."""
+        """Count the call as sent, then fail.
+
+        A manual clock advances by 11 s first, past the dispatch limit.
+        """
         self.sent += 1
         if isinstance(self.clock, clock_module.ManualClock):
             self.clock.advance(11_000)
         self.may_send = call.may_send()
-        raise RuntimeError("a fault after the first byte")
+        raise RuntimeError("failed after the first byte")
 
 
 @attrs.frozen
@@ -61,15 +64,15 @@
     )
 
 
-def run_twice(clock: typing.Any) -> tuple[FaultyLifecycle, list]:
-    """Present one ticket twice at a gate whose runs fail."""
+def run_twice(clock: typing.Any) -> tuple[FailingLifecycle, list]:
+    """Present one ticket twice to a gate whose runs fail."""
     board = blackboard_module.Blackboard(name="a", failure_domain="d")
-    lifecycle = FaultyLifecycle(board, clock, Settings())
+    lifecycle = FailingLifecycle(board, clock, Settings())
     unused: typing.Any = None
     controller = claims_module.ClaimsController(
         board, clock, unused, claims.Rules()
     )
-    parts: tuple[typing.Any, typing.Any] = (lifecycle, SilentHub())
+    parts: tuple[typing.Any, typing.Any] = (lifecycle, NoPeers())
     gate = once.OnceGate(
         *parts, tokens.Signer(("0123456789abcdef",)), controller
     )
@@ -80,14 +83,14 @@
         body={},
         ticket=gate.issue(CUSTOMER)[0],
     )
-    seen = []
+    seen_outcomes = []
 
     async def present() -> None:
         async with trio.open_nursery() as nursery:
             supervisor: typing.Any = supervision.Supervisor(nursery)
             gate._nursery = supervisor
             for _ in range(2):
-                seen.append(
+                seen_outcomes.append(
                     await gate.run(CUSTOMER, call, OPERATION, "swap-desk")
                 )
             await trio.sleep(2 * supervision.RESTART_DELAY_S)
@@ -95,22 +98,22 @@
             nursery.cancel_scope.cancel()
 
     trio.run(present)
-    return lifecycle, seen
+    return lifecycle, seen_outcomes
 
 
-def test_run_that_meets_a_fault_is_not_started_again():
-    """The run fails after its first byte with an error nobody expected.
+def test_failed_run_is_not_restarted():
+    """A run fails with an unexpected error after its first byte is sent.
 
-    The daemon starts failed tasks again, so that one fault does not end it.
-    This one would log the swap a second time.
+    The supervisor restarts failed tasks, so that one error does not end the
+    daemon; restarting this one would run the call a second time.
     """
-    lifecycle, seen = run_twice(clock_module.Clock())
+    lifecycle, seen_outcomes = run_twice(clock_module.Clock())
     assert lifecycle.sent == 1
     assert lifecycle.tasks_left == 0
-    assert all(isinstance(each, outcomes.Unknown) for each in seen)
+    assert all(isinstance(each, outcomes.Unknown) for each in seen_outcomes)
 
 
-def test_run_that_was_paused_before_its_first_byte_is_stopped():
-    """The process is frozen for eleven seconds before it sends."""
+def test_run_paused_before_its_first_byte_is_not_sent():
+    """The process is paused for eleven seconds before it sends the call."""
     lifecycle, _ = run_twice(clock_module.ManualClock())
     assert not lifecycle.may_send
--- a/tests/cover/test_gateway_input.py
+++ b/tests/cover/test_gateway_input.py
@@ -1,4 +1,4 @@
-"""Bad input at the callers' port gets a typed refusal and an event."""
+"""Invalid requests get a problem reply and are logged."""
 
 import json
 import string
@@ -31,14 +31,14 @@
     path: str = COMPLETIONS,
     headers: typing.Sequence[tuple[bytes, bytes]] = (),
 ) -> asgi.Reply:
-    """Post a body; anything but bytes as JSON."""
+    """Post a body; anything other than bytes is encoded as JSON."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
-    heads = [asgi.AUTH, asgi.JSON, *headers]
-    return asgi.call(APP, "POST", path, heads, [data])
+    request_headers = [asgi.AUTH, asgi.JSON, *headers]
+    return asgi.call(APP, "POST", path, request_headers, [data])
 
 
 def check_problem(reply: asgi.Reply, status: int) -> dict:
-    """Check that a reply is a typed refusal that was not run."""
+    """Check that a reply is a problem document that says "not run"."""
     assert reply.status == status, (reply.status, reply.body)
     assert reply.headers["content-type"] == "application/problem+json"
     problem = reply.json()
@@ -48,37 +48,37 @@
     return problem
 
 
-class EventTrap:
-    """Collects what is logged while it is entered."""
+class EventCapture:
+    """Context manager that captures logged events."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
 
-    def __enter__(self) -> "EventTrap":
-        self.patch = mock.patch.object(logging, "log", self.take)
+    def __enter__(self) -> "EventCapture":
+        self.patch = mock.patch.object(logging, "log", self.record)
         self.patch.start()
         return self
 
     def __exit__(self, *_: object) -> None:
         self.patch.stop()
 
-    def take(self, level: int, text: str, *words: object) -> None:
-        """Keep one line."""
-        self.lines.append(text % words)
+    def record(self, level: int, text: str, *arguments: object) -> None:
+        """Store one log line; replaces ``logging.log``."""
+        self.lines.append(text % arguments)
 
-    def names(self) -> list[str]:
-        """Names of the events."""
+    def list_names(self) -> list[str]:
+        """Return the names of the captured events."""
         return [json.loads(line)["name"] for line in self.lines]
 
 
 def test_body_over_the_limit_is_refused_with_413():
-    """One caller cannot fill the memory of an entry VM."""
+    """A caller cannot exhaust an entry VM's memory with one body."""
     reply = send({**GOOD, "pad": "x" * 3_000})
     assert "2000" in check_problem(reply, 413)["detail"]
 
 
-def test_body_that_dribbles_is_refused_with_408():
-    """One caller cannot hold a place for ever."""
+def test_slow_body_is_refused_with_408():
+    """A caller cannot hold a connection open by sending a body slowly."""
 
     async def run() -> asgi.Reply:
         async def receive() -> typing.Any:
@@ -87,7 +87,7 @@
 
         sent: list[dict] = []
 
-        async def take(message: typing.Any) -> None:
+        async def record(message: typing.Any) -> None:
             sent.append(message)
 
         scope = {
@@ -99,22 +99,24 @@
             "headers": [asgi.AUTH],
         }
         with trio.fail_after(5):
-            await APP(scope, receive, take)
-        heads = {k.decode(): v.decode() for k, v in sent[0]["headers"]}
-        return asgi.Reply(sent[0]["status"], heads, sent[1]["body"])
+            await APP(scope, receive, record)
+        reply_headers = {k.decode(): v.decode() for k, v in sent[0]["headers"]}
+        return asgi.Reply(sent[0]["status"], reply_headers, sent[1]["body"])
 
     check_problem(trio.run(run), 408)
 
 
-def test_body_that_is_cut_off_is_not_run():
-    """Half a request is no request."""
-    heads = [asgi.AUTH, asgi.JSON]
-    reply = asgi.call(APP, "POST", COMPLETIONS, heads, [b'{"mod', None])
+def test_truncated_body_is_not_run():
+    """A truncated body is rejected."""
+    request_headers = [asgi.AUTH, asgi.JSON]
+    reply = asgi.call(
+        APP, "POST", COMPLETIONS, request_headers, [b'{"mod', None]
+    )
     check_problem(reply, 400)
 
 
-def test_what_is_no_json_object_is_refused():
-    """Each is a thing that JSON libraries let pass or choke on."""
+def test_body_other_than_a_json_object_is_refused():
+    """These inputs are ones that JSON libraries accept or crash on."""
     for body in (
         b"\xff\xfe{}",
         b"",
@@ -133,7 +135,7 @@
 
 
 def test_fields_of_wrong_types_are_named():
-    """A newcomer sees which field is meant."""
+    """The error detail names the invalid field."""
     for field, value in (
         ("model", 5),
         ("model", None),
@@ -151,17 +153,17 @@
         assert field in problem["detail"]
 
 
-def test_whoever_has_no_valid_key_is_turned_away():
-    """An unknown key, none at all, and another scheme."""
+def test_request_without_a_valid_key_is_refused():
+    """An unknown key, no key, another scheme, and bytes that are not ASCII."""
     for header in (b"", b"Bearer", b"Bearer who", b"Basic x", b"\xff\xff"):
         for path in (COMPLETIONS, SERVICE, "/v1/sessions", "/v1/tickets"):
-            heads = [(b"authorization", header)]
-            reply = asgi.call(APP, "POST", path, heads, [b"{}"])
+            request_headers = [(b"authorization", header)]
+            reply = asgi.call(APP, "POST", path, request_headers, [b"{}"])
             check_problem(reply, 401)
 
 
 def test_forged_foreign_or_expired_token_is_refused():
-    """A token says what may run; only a signed one is believed."""
+    """Session tokens and tickets need a valid signature and customer."""
     signer = tokens.Signer(tuple(deployment.KEYS["tokens"]))
     session = tokens.Session(
         session_id="s",
@@ -180,7 +182,7 @@
 
 
 def test_expired_ticket_does_not_run():
-    """Its first use may be forgotten, so that "not run" can't be said."""
+    """Its first use may have been pruned, so "not run" cannot be said."""
     signer = tokens.Signer(tuple(deployment.KEYS["tokens"]))
     ticket = tokens.issue_ticket(
         "ikeja-families", "oduya-0", DAEMON.board.incarnation, 1
@@ -192,22 +194,22 @@
 
 
 def test_huge_header_and_bad_key_are_refused():
-    """Headers are bounded as bodies are."""
+    """The size of headers is limited, as is that of bodies."""
     check_problem(send(GOOD, headers=[(b"x-pad", b"x" * 20_000)]), 431)
     for key in (b"k" * 201, b"a\xffb", b"a\x01b"):
         head = (b"idempotency-key", key)
         check_problem(send(GOOD, headers=[head]), 400)
 
 
-def test_unknown_path_and_method_are_problems_too():
-    """Every refusal has the same form."""
+def test_unknown_path_and_method_get_a_problem_reply():
+    """They get the same kind of reply as any other refusal."""
     check_problem(asgi.call(APP, "GET", "/v2/what"), 404)
     check_problem(asgi.call(APP, "GET", COMPLETIONS), 405)
 
 
-def test_refusals_leave_an_event_without_the_callers_words():
-    """The log tells that it happened, and nothing of what was said."""
-    with EventTrap() as trap:
+def test_refusals_are_logged_without_request_content():
+    """Refusals are logged without any content of the request."""
+    with EventCapture() as capture:
         send({**GOOD, "messages": [SECRET]})
         send({**GOOD, SECRET: float("nan")})
         send(GOOD, headers=[(b"idempotency-key", b"\x01")])
@@ -215,15 +217,16 @@
         asgi.call(APP, "POST", COMPLETIONS, [key], [b"{}"])
         head = (b"carawayward-session", f"{SECRET}.x".encode())
         send(GOOD, headers=[head])
-    assert "request_bad" in trap.names()
-    assert "request_unproven" in trap.names()
-    assert SECRET not in "".join(trap.lines)
+    assert "request_bad" in capture.list_names()
+    assert "request_unproven" in capture.list_names()
+    assert SECRET not in "".join(capture.lines)
 
 
-def test_unexpected_fault_promises_nothing_and_ends_nothing():
-    """Nobody knows how far the request came, so "not run" may not be said.
+def test_unexpected_error_is_not_reported_as_not_run():
+    """How far the request got is unknown, so "not run" may not be said.
 
-    The fault comes alone and in a group, as trio raises it.
+    The exception is raised alone and in a group, as trio raises it. The
+    application still serves requests afterwards.
     """
     daemon = asgi.make_daemon()
     app = daemon.api.build()
@@ -236,28 +239,28 @@
         async def complete(*_: object, fault: Exception = fault) -> None:
             raise fault
 
-        broken: typing.Any = _Broken(daemon.api.lifecycle, complete)
-        daemon.api.lifecycle = broken
-        with EventTrap() as trap:
+        failing: typing.Any = _FailingLifecycle(daemon.api.lifecycle, complete)
+        daemon.api.lifecycle = failing
+        with EventCapture() as capture:
             body = [json.dumps(GOOD).encode()]
-            heads = [asgi.AUTH, asgi.JSON]
-            reply = asgi.call(app, "POST", COMPLETIONS, heads, body)
+            request_headers = [asgi.AUTH, asgi.JSON]
+            reply = asgi.call(app, "POST", COMPLETIONS, request_headers, body)
         assert reply.status == 500
         assert reply.json()["not_run"] is False
-        assert "fault" in trap.names()
-        assert SECRET not in "".join(trap.lines) + reply.body.decode()
+        assert "fault" in capture.list_names()
+        assert SECRET not in "".join(capture.lines) + reply.body.decode()
     assert asgi.call(app, "GET", "/readyz").status == 200
 
 
-class _Broken:
-    """A request's life whose completions meet a fault."""
+class _FailingLifecycle:
+    """Delegates to a Lifecycle, except for ``complete``."""
 
-    def __init__(self, whole: typing.Any, complete: typing.Any) -> None:
-        self.whole = getattr(whole, "whole", whole)
+    def __init__(self, wrapped: typing.Any, complete: typing.Any) -> None:
+        self.wrapped = getattr(wrapped, "wrapped", wrapped)
         self.complete = complete
 
     def __getattr__(self, name: str) -> typing.Any:
-        return getattr(self.whole, name)
+        return getattr(self.wrapped, name)
 
 
 JSON_VALUES = strategies.recursive(
@@ -324,14 +327,14 @@
     path=PATHS,
     headers=HEADERS,
     body=strategies.lists(BODIES, max_size=3),
-    known=strategies.booleans(),
+    has_valid_key=strategies.booleans(),
 )
-def test_no_input_is_answered_with_a_server_fault(
-    method, path, headers, body, known
+def test_no_input_causes_a_server_error(
+    method, path, headers, body, has_valid_key
 ):
-    """Whatever comes, it is answered, and each refusal has the same form."""
-    heads = [asgi.AUTH, *headers] if known else headers
-    reply = asgi.call(APP, method, path, heads, [*body, b""])
+    """Any input gets a reply, and each refusal is a problem document."""
+    request_headers = [asgi.AUTH, *headers] if has_valid_key else headers
+    reply = asgi.call(APP, method, path, request_headers, [*body, b""])
     assert 200 <= reply.status < 600
     assert reply.status not in (500, 501)
     if reply.status >= 400 and method != "HEAD":
--- a/tests/cover/test_gateway_openapi.py
+++ b/tests/cover/test_gateway_openapi.py
@@ -1,4 +1,4 @@
-"""docs/openapi.yaml says what the callers' API does."""
+"""docs/openapi.yaml agrees with the callers' API."""
 
 import json
 import pathlib
@@ -18,7 +18,7 @@
 
 
 def resolve(node: typing.Any) -> typing.Any:
-    """Follow a reference within the document."""
+    """Resolve a ``$ref`` within the document."""
     while "$ref" in node:
         found: typing.Any = DOCUMENT
         for part in node["$ref"].removeprefix("#/").split("/"):
@@ -28,7 +28,7 @@
 
 
 def list_routes() -> set[tuple[str, str]]:
-    """Paths and methods that the application serves."""
+    """Return the paths and methods that the application serves."""
     app: typing.Any = asgi.make_daemon().api.build().inner
     return {
         (route.path, method)
@@ -39,10 +39,10 @@
     }
 
 
-def check_value(value: object, schema: dict, where: str) -> None:
-    """Check required fields and kinds, as far as the document uses them."""
+def check_value(value: object, schema: dict, location: str) -> None:
+    """Check a value against a schema, as far as the document uses schemas."""
     schema = resolve(schema)
-    kinds: dict[str, typing.Any] = {
+    python_types: dict[str, typing.Any] = {
         "object": dict,
         "array": list,
         "string": str,
@@ -51,35 +51,35 @@
         "number": (int, float),
     }
     if "type" in schema:
-        assert isinstance(value, kinds[schema["type"]]), where
+        assert isinstance(value, python_types[schema["type"]]), location
     if "const" in schema:
-        assert value == schema["const"], where
+        assert value == schema["const"], location
     if "enum" in schema:
-        assert value in schema["enum"], where
+        assert value in schema["enum"], location
     if isinstance(value, dict):
-        assert set(schema.get("required", ())) <= set(value), where
+        assert set(schema.get("required", ())) <= set(value), location
         for name, inner in schema.get("properties", {}).items():
             if name in value:
-                check_value(value[name], inner, f"{where}.{name}")
+                check_value(value[name], inner, f"{location}.{name}")
     if isinstance(value, list) and "items" in schema:
         for item in value:
-            check_value(item, schema["items"], where)
+            check_value(item, schema["items"], location)
 
 
 def check_reply(path: str, method: str, reply: asgi.Reply) -> None:
-    """Check that a reply is one that the document announces."""
+    """Check that the document describes a reply's status and body."""
     operation = DOCUMENT["paths"][path][method.lower()]
-    where = f"{method} {path} {reply.status}"
-    assert str(reply.status) in operation["responses"], where
-    announced = resolve(operation["responses"][str(reply.status)])
+    location = f"{method} {path} {reply.status}"
+    assert str(reply.status) in operation["responses"], location
+    documented = resolve(operation["responses"][str(reply.status)])
     kind = reply.headers["content-type"].partition(";")[0]
-    assert kind in announced["content"], where
-    schema = announced["content"][kind].get("schema", {})
-    check_value(reply.json(), schema, where)
+    assert kind in documented["content"], location
+    schema = documented["content"][kind].get("schema", {})
+    check_value(reply.json(), schema, location)
 
 
-def test_document_names_the_routes_that_there_are():
-    """A path that was added or taken away is seen here."""
+def test_document_lists_exactly_the_served_routes():
+    """Adding or removing a route requires a change to the document."""
     documented = {
         (path, method.upper())
         for path, methods in DOCUMENT["paths"].items()
@@ -88,15 +88,15 @@
     assert documented == list_routes()
 
 
-def test_references_lead_somewhere():
-    """Tools that read the document must not fail on it."""
+def test_references_can_be_resolved():
+    """Every ``$ref`` resolves, so that tools can read the document."""
     text = pathlib.Path("docs/openapi.yaml").read_text()
     for reference in set(re.findall(r'\$ref: "([^"]+)"', text)):
         assert resolve({"$ref": reference}), reference
 
 
-def test_each_way_to_fail_has_its_status_in_the_document():
-    """Whatever the outcome, a caller can look its status up."""
+def test_status_of_each_outcome_is_documented():
+    """The document lists the status of every possible outcome."""
     for path in (COMPLETIONS, "/v1/services/{service}/{operation}"):
         statuses = DOCUMENT["paths"][path]["post"]["responses"]
         for reason in outcomes.Reason:
@@ -109,8 +109,8 @@
                 assert str(failure.status_code) in statuses, outcome
 
 
-def test_replies_are_as_the_document_says():
-    """The handlers' own replies, good and bad, against the document."""
+def test_replies_match_the_document():
+    """Replies that handlers make themselves match the document."""
     daemon = asgi.make_daemon()
     app = daemon.api.build()
     service = "/v1/services/{service}/{operation}"
@@ -125,14 +125,14 @@
         ("POST", COMPLETIONS, COMPLETIONS, b"[]", 400),
     ]
     for method, path, target, body, status in calls:
-        heads = [asgi.AUTH, asgi.JSON]
-        reply = asgi.call(app, method, target, heads, [body])
+        headers = [asgi.AUTH, asgi.JSON]
+        reply = asgi.call(app, method, target, headers, [body])
         assert reply.status == status, (target, reply)
         check_reply(path, method, reply)
 
 
-def test_whole_answers_and_streams_are_as_the_document_says():
-    """An answer and the events of a stream, as they are encoded."""
+def test_answers_and_streams_match_the_document():
+    """A complete answer and the events of a stream match their schemas."""
     answer = outcomes.Answered(
         text="good day",
         version="sorter-3",
--- a/tests/cover/test_sessions.py
+++ b/tests/cover/test_sessions.py
@@ -1,4 +1,4 @@
-"""A session keeps its versions, or ends."""
+"""A session keeps the versions that it is pinned to, or ends."""
 
 import typing
 
@@ -20,7 +20,7 @@
 
 
 def make_models(state: str = "active", when_cut_off: str = "default") -> dict:
-    """Two models; the cheap one's version is as given."""
+    """Make two models; the arguments apply to the cheap one's version."""
     cheap = declaration.Version(
         name="c1",
         cost=1.0,
@@ -35,14 +35,14 @@
 
 
 class NoPeers:
-    """A hub of a node that is alone."""
+    """The hub of a node without peers."""
 
     def handle(self, kind, handler):
-        """Nobody will call."""
+        """Ignore the handler, since no peer calls it."""
 
 
 def make_sessions(clock: typing.Any) -> sessions.Sessions:
-    """The sessions of a node that is alone."""
+    """Make the sessions of a node without peers."""
     board = blackboard_module.Blackboard(name="a", failure_domain="d")
     document = {
         "format": 1,
@@ -59,9 +59,10 @@
 
 
 def test_withdrawn_pin_ends_the_session_for_the_whole_cascade():
-    """The cheap version is withdrawn amid a narrative.
+    """The cheap version is withdrawn during a session.
 
-    Going on with the strong one alone would change the narrative's voice.
+    To continue with the strong one alone would change the style of the text
+    midway.
     """
     pins = {"cheap": "c1", "strong": "s1"}
     for state, lost in (
@@ -71,14 +72,17 @@
     ):
         models = make_models(state)
         assert session.find_unavailable_pin(TASK, models, pins, True) == lost
-    gone = {**pins, "strong": "s0"}
+    unknown_version = {**pins, "strong": "s0"}
     assert (
-        session.find_unavailable_pin(TASK, make_models(), gone, True) == "s0"
+        session.find_unavailable_pin(
+            TASK, make_models(), unknown_version, True
+        )
+        == "s0"
     )
     assert session.find_unavailable_pin(TASK, make_models(), {}, True) is None
 
 
-def test_cut_off_node_ends_sessions_only_where_the_version_says_so():
+def test_cut_off_node_ends_sessions_only_if_the_version_requires_it():
     pins = {"cheap": "c1"}
     stop = make_models(when_cut_off="stop")
     assert session.find_unavailable_pin(TASK, stop, pins, True) is None
@@ -87,8 +91,8 @@
     assert session.find_unavailable_pin(TASK, canary, pins, False) is None
 
 
-def test_cut_off_node_starts_nothing_on_a_version_that_stops_there():
-    """A domain is cut off and requests without a session go on coming."""
+def test_cut_off_node_starts_no_work_on_a_version_that_forbids_it():
+    """Requests without a session reach a failure domain that is cut off."""
     versions = {
         version.name: version
         for model in make_models(when_cut_off="settled-only").values()
@@ -103,26 +107,26 @@
     )
 
 
-def test_token_is_honoured_until_it_ends_and_only_for_its_customer():
+def test_token_is_valid_until_it_expires_and_only_for_its_customer():
     clock = clock_module.ManualClock()
-    opened = make_sessions(clock)
-    token = SIGNER.sign(opened.open(CUSTOMER))
-    elsewhere = make_sessions(clock)
+    node = make_sessions(clock)
+    token = SIGNER.sign(node.open(CUSTOMER))
+    other_node = make_sessions(clock)
 
     def read(text: str, name: str = "families") -> str:
         customer = declaration.Customer(
             name=name, key_digests=[], tasks=[], models=["cheap"]
         )
         try:
-            pins = trio.run(elsewhere.read_pins, text, customer)
+            pins = trio.run(other_node.read_pins, text, customer)
         except errors.InvalidToken as fault:
             return str(fault)
         return pins["cheap"]
 
     assert read(token) == "c1"
     assert "another customer" in read(token, "schools")
-    # The last characters of a signature hold bits that count for nothing;
-    # its first one always counts.
+    # The last characters of a base64 signature hold unused bits; its first
+    # character is always significant.
     payload, _, signature = token.rpartition(".")
     other = "A" if signature[0] != "A" else "B"
     assert "forged" in read(f"{payload}.{other}{signature[1:]}")
--- a/tests/failures/test_agreed_once.py
+++ b/tests/failures/test_agreed_once.py
@@ -1,4 +1,4 @@
-"""Calls that may not be repeated, over processes that fail."""
+"""Non-repeatable calls run at most once although processes fail."""
 
 import concurrent.futures
 import contextlib
@@ -24,17 +24,19 @@
 def call_once(
     vm: deployment.EntryProcess, swap: str, **headers: str
 ) -> deployment.Reply:
-    """Log a swap through an entry VM."""
-    named = {name.replace("_", "-"): text for name, text in headers.items()}
+    """Call the non-repeatable operation through an entry VM."""
+    extra_headers = {
+        name.replace("_", "-"): text for name, text in headers.items()
+    }
     return deployment.call(
-        "POST", vm.callers, PATH, {"swap": swap}, {**AUTH, **named}
+        "POST", vm.callers, PATH, {"swap": swap}, {**AUTH, **extra_headers}
     )
 
 
 def call_keyed(
     vm: deployment.EntryProcess, swap: str, made_ms: int = 0, **more: str
 ) -> deployment.Reply:
-    """Log a swap under the caller's own key."""
+    """Call the operation under the caller's own key, made now by default."""
     return call_once(
         vm,
         swap,
@@ -44,20 +46,20 @@
     )
 
 
-def take_ticket(vm: deployment.EntryProcess) -> str:
-    """Take a ticket from an entry VM."""
+def get_ticket(vm: deployment.EntryProcess) -> str:
+    """Get a ticket from an entry VM."""
     reply = deployment.call("POST", vm.callers, "/v1/tickets", {}, AUTH)
     return reply.json()["ticket"]
 
 
 def look_up(vm: deployment.EntryProcess, key: str) -> dict:
-    """Ask an entry VM what became of a request."""
+    """Look up the outcome of a request at an entry VM."""
     path = f"/v1/requests/{key}"
     return deployment.call("GET", vm.callers, path, None, AUTH).json()
 
 
 def count_runs(running: deployment.Deployment, swap: str) -> int:
-    """How often the services have logged a swap."""
+    """Count how often the services have run a swap."""
     return sum(
         run["body"] == {"swap": swap}
         for name in running.pools["swap-desk"]
@@ -66,7 +68,7 @@
 
 
 def wait_until(check, timeout_s: float = 15.0) -> bool:
-    """Wait until ``check`` holds; False if it does not in time."""
+    """Wait until ``check`` is true; return False if it is not in time."""
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
         if check():
@@ -79,9 +81,9 @@
 def run_linked(
     plan: deployment.Plan,
 ) -> typing.Iterator[deployment.Deployment]:
-    """Run a deployment whose entry VMs have all met."""
+    """Run a deployment whose entry VMs have all heard from each other."""
 
-    def count_met(vm: deployment.EntryProcess) -> int:
+    def count_heard_peers(vm: deployment.EntryProcess) -> int:
         shown = deployment.call(
             "GET", vm.operators, "/v1/status", None, OPERATORS
         ).json()
@@ -90,16 +92,19 @@
     with deployment.Deployment(plan) as running:
         others = plan.entry_vms - 1
         assert wait_until(
-            lambda: all(count_met(vm) == others for vm in running.entry_vms)
+            lambda: all(
+                count_heard_peers(vm) == others for vm in running.entry_vms
+            )
         )
         yield running
 
 
 def test_one_key_through_all_nodes_at_once_runs_once():
-    """A depot's phone sends one swap through three entry VMs at once.
+    """A caller sends one key through three entry VMs at once, twice each.
 
-    It has given up on slow answers and called the next VM, twice over. Each
-    VM would run it on its own; only the first claim in the log may.
+    This happens when a caller gives up on slow answers and calls the next
+    VM. Any of the VMs could run the call, but only the one whose claim is
+    first in the log may. Keys outside the time window do not run.
     """
     with run_linked(SMALL) as running:
         made_ms = int(time.time() * 1000)
@@ -124,11 +129,11 @@
         assert count_runs(running, "old") == count_runs(running, "future") == 0
 
 
-def test_lost_answer_of_the_log_neither_doubles_nor_loses_a_claim():
-    """The log takes a claim and its answer is lost.
+def test_lost_answer_of_the_log_neither_repeats_nor_loses_a_call():
+    """The log stores a claim, but its answer is lost.
 
-    A node that appends and runs on its own count would run twice; one that
-    gives up would lose the swap though its claim has won.
+    A node that ran the call without reading its claim back could run it a
+    second time; one that gives up would lose it although its claim has won.
     """
     with run_linked(SMALL) as running:
         running.switch("log", lose_answers=1, lose_in="claims")
@@ -139,25 +144,25 @@
         assert count_runs(running, "lost") == 1
 
 
-def test_without_the_log_a_key_is_refused_and_a_ticket_runs():
-    """The platform's log is down while volunteers log swaps.
+def test_while_the_log_is_down_keys_are_refused_and_tickets_run():
+    """The platform log is down while callers use keys and tickets.
 
-    A key may have been run by a VM that is gone, and only the log knows, so
-    "not run" would be a guess, unless the caller says that it never tried
-    before. Tickets go on. Nobody is kept waiting.
+    A key may have been run by a VM that is gone, and only the log would show
+    it. So "not run" may be said only if the caller states that this is its
+    first attempt. Tickets still work, and refusals are not delayed.
     """
     with run_linked(SMALL) as running:
         vm = running.entry_vms[0]
-        ticket = take_ticket(vm)
+        ticket = get_ticket(vm)
         running.switch("log", down=True)
         time.sleep(2.5)
-        began = time.monotonic()
+        started_s = time.monotonic()
         reply = call_keyed(vm, "dark")
         assert (reply.status, reply.json()["reason"]) == (504, "no-claim")
         assert "retry-after" in reply.headers
         first = call_keyed(vm, "dark", Carawayward_Attempt="1")
         assert (first.status, first.json()["not_run"]) == (503, True)
-        assert time.monotonic() - began < 3.0
+        assert time.monotonic() - started_s < 3.0
         other = running.entry_vms[1]
         ran = call_once(other, "lit", Carawayward_Ticket=ticket)
         assert ran.status == 200
@@ -166,19 +171,19 @@
         assert count_runs(running, "dark") == count_runs(running, "lit") == 1
 
 
-def test_resend_during_the_run_and_after_its_node_died():
-    """A service is slow; the caller resends its ticket through another VM.
+def test_resend_during_the_run_and_after_its_node_was_killed():
+    """The caller of a slow service resends its ticket through another VM.
 
-    First while the run is under way, then after the issuer has been killed.
-    The first resend gets the first run's answer, the second "unknown".
+    It does so during the run and again after the issuer has been killed. The
+    first resend gets the answer of the only run, the second gets "unknown".
     """
     with run_linked(SMALL) as running:
         issuer, other = running.entry_vms[:2]
         for name in running.pools["swap-desk"]:
             running.switch(name, slow_ms=1_500)
-        ticket = take_ticket(issuer)
+        ticket = get_ticket(issuer)
         with concurrent.futures.ThreadPoolExecutor(3) as pool:
-            jobs = [
+            calls = [
                 pool.submit(
                     call_once,
                     vm,
@@ -189,19 +194,19 @@
                 for vm in (issuer, other)
             ]
             time.sleep(0.3)
-            asked = [
+            found_outcomes = [
                 look_up(vm, "slow-key").get("outcome")
                 for vm in running.entry_vms
             ]
-            impatient = call_once(
+            short_deadline = call_once(
                 other,
                 "slow",
                 Carawayward_Ticket=ticket,
                 Carawayward_Deadline_Ms="100",
             )
-            replies = [job.result() for job in jobs]
-        assert impatient.json()["reason"] == "in-progress"
-        assert asked == ["running"] * 3
+            replies = [each.result() for each in calls]
+        assert short_deadline.json()["reason"] == "in-progress"
+        assert found_outcomes == ["running"] * 3
         assert [reply.status for reply in replies] == [200, 200]
         assert issuer.process is not None
         issuer.process.send_signal(signal.SIGKILL)
@@ -211,16 +216,17 @@
         assert count_runs(running, "slow") == 1
 
 
-def test_bare_503_of_a_service_does_not_free_a_right():
-    """A swap desk says 503, as some do after they began to write.
+def test_503_of_a_service_does_not_make_a_ticket_reusable():
+    """A service replies 503 without stating that the call did not run.
 
-    It does not say that it did not run, so the ticket stays spent.
+    Some services do so after they have begun to write, so the ticket stays
+    used.
     """
     with run_linked(SMALL) as running:
         vm = running.entry_vms[0]
         for name in running.pools["swap-desk"]:
             running.switch(name, down=True)
-        ticket = take_ticket(vm)
+        ticket = get_ticket(vm)
         reply = call_once(vm, "half", Carawayward_Ticket=ticket)
         assert (reply.status, reply.json()["not_run"]) == (504, False)
         for name in running.pools["swap-desk"]:
@@ -230,15 +236,15 @@
         assert count_runs(running, "half") == 0
 
 
-def test_heirs_answer_for_nodes_that_have_left_one_after_another():
-    """VMs are replaced on plan between a ticket's issue and its use.
+def test_heirs_take_over_from_nodes_that_leave_one_after_another():
+    """VMs are stopped as planned between the issue of a ticket and its use.
 
-    The heir runs the unused ticket, replays the used one, and says so to
-    whoever asks through another VM. Then the heir leaves too.
+    The heir runs the unused ticket and replays the answer of the used one,
+    also for calls through another VM. Then the heir leaves too.
     """
     with run_linked(SMALL) as running:
         issuer, heir, last = running.entry_vms
-        used, unused, later = (take_ticket(issuer) for _ in range(3))
+        used, unused, later = (get_ticket(issuer) for _ in range(3))
         before = call_once(issuer, "used", Carawayward_Ticket=used)
         stop(issuer)
         for vm in (heir, last):
@@ -255,7 +261,7 @@
 
 
 def stop(vm: deployment.EntryProcess) -> None:
-    """Stop an entry VM on plan."""
+    """Stop an entry VM as planned, with SIGTERM."""
     assert vm.process is not None
     vm.process.send_signal(signal.SIGTERM)
     assert vm.process.wait(20) == 0
--- a/tests/failures/test_path_input.py
+++ b/tests/failures/test_path_input.py
@@ -1,4 +1,4 @@
-"""Junk on the ports of a running entry VM."""
+"""Malformed input on the ports of a running entry VM."""
 
 import contextlib
 import socket
@@ -13,41 +13,42 @@
 
 
 def send_raw(address: str, data: bytes) -> bytes:
-    """Send bytes over a connection and return what comes back."""
+    """Send bytes over a new connection and return the reply."""
     host, _, port = address.rpartition(":")
-    got = b""
-    with socket.create_connection((host, int(port)), 10) as raw:
+    received = b""
+    with socket.create_connection((host, int(port)), 10) as connection:
         with contextlib.suppress(OSError):
-            raw.sendall(data)
-            while piece := raw.recv(65_536):
-                got += piece
-    return got
+            connection.sendall(data)
+            while chunk := connection.recv(65_536):
+                received += chunk
+    return received
 
 
-def dribble(address: str, head: bytes) -> float:
-    """Send a byte now and then; return how long that was borne."""
+def send_slowly(address: str, head: bytes) -> float:
+    """Send bytes slowly; return how long the connection stayed open, in s."""
     host, _, port = address.rpartition(":")
-    began = time.monotonic()
-    with socket.create_connection((host, int(port)), 10) as raw:
-        raw.settimeout(0.05)
-        raw.sendall(head)
+    started_s = time.monotonic()
+    with socket.create_connection((host, int(port)), 10) as connection:
+        connection.settimeout(0.05)
+        connection.sendall(head)
         with contextlib.suppress(ConnectionError, BrokenPipeError):
-            while time.monotonic() - began < 15:
-                raw.sendall(b"x")
+            while time.monotonic() - started_s < 15:
+                connection.sendall(b"x")
                 with contextlib.suppress(TimeoutError):
-                    if raw.recv(1_000) == b"":
+                    if connection.recv(1_000) == b"":
                         break
-    return time.monotonic() - began
+    return time.monotonic() - started_s
 
 
-def test_junk_on_every_port_leaves_a_running_stream_alone():
-    """One scanner on the network cuts everybody's answers off.
+def test_malformed_input_on_any_port_does_not_affect_a_stream():
+    """A port scanner must not cut off other callers' answers.
 
-    Bytes that are no HTTP, other protocols' greetings, heads and bodies
-    that never end, while a stream runs. Cause: a fault that gets past one
-    connection's own code meets those of all others.
+    While a stream runs, every port gets bytes that are not HTTP, handshakes
+    of other protocols, and malformed or oversized headers. The failure
+    arises when an exception leaves the code of its own connection and ends
+    the tasks of all others.
     """
-    junk = [
+    malformed = [
         b"\x00" * 2_000,
         b"\x16\x03\x01\x02\x00" + b"\xaa" * 300,
         b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\xff" * 100,
@@ -65,21 +66,21 @@
         text = "junk tokens=700"
         with streaming.open_stream(vm.callers, text) as response:
             for address in (vm.callers, vm.operators, vm.peers):
-                for data in junk:
+                for data in malformed:
                     send_raw(address, data)
             answer = streaming.read_answer(response)
         assert answer.text == streaming.make_expected(text, 700)
         assert deployment.call("GET", vm.callers, "/readyz").status == 200
         log = (running.folder / f"{vm.name}.out").read_text()
-        assert log.count('"peer_refused"') == len(junk)
+        assert log.count('"peer_refused"') == len(malformed)
         assert '"request_bad"' in log and '"fault"' not in log
 
 
-def test_heads_and_bodies_that_dribble_are_cut_off():
-    """Callers can't connect; an entry VM's connections are all taken.
+def test_slow_headers_and_bodies_are_cut_off():
+    """Slow requests must not use up an entry VM's connections.
 
-    A few hosts hold thousands open by sending a byte now and then. Cause:
-    a timeout that begins anew with each byte never ends.
+    A few hosts can hold thousands of connections open by sending a byte now
+    and then, if a timeout restarts with each byte.
     """
     plan = streaming.make_plan(limits=LIMITS)
     with deployment.Deployment(plan) as running:
@@ -89,8 +90,8 @@
             "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n"
             f"Authorization: {key}\r\nContent-Length: 900\r\n\r\n"
         )
-        assert dribble(callers, b"GET /readyz HTTP/1.1\r\nX: ") < 10
-        assert dribble(callers, head.encode()) < 10
+        assert send_slowly(callers, b"GET /readyz HTTP/1.1\r\nX: ") < 10
+        assert send_slowly(callers, head.encode()) < 10
         with httpcore.ConnectionPool() as pool:
             ready = pool.request("GET", f"http://{callers}/readyz")
             assert ready.status == 200
