--- a/src/carawayward/forwarding/daemon.py
+++ b/src/carawayward/forwarding/daemon.py
@@ -223,7 +223,7 @@
         )
         page = metrics_module.render_page(self.app.metrics, gauges)
         reply = app_module.AsgiReply(send, lambda: False)
-        await replies.send_whole(reply, 200, METRICS_HEADERS, page)
+        await replies.send_response(reply, 200, METRICS_HEADERS, page)
 
     async def _leave(self) -> None:
         """Wait out the balancer, then until nothing is being served."""
--- a/src/carawayward/gateway/lifecycle.py
+++ b/src/carawayward/gateway/lifecycle.py
@@ -188,7 +188,7 @@
                 on_text if last else buffer_text,
                 buffered=not (last and request.stream),
             )
-            if not isinstance(result, running.StepDone):
+            if not isinstance(result, running.StepResult):
                 return result
             end = result.end
             self._record_answer(
@@ -220,7 +220,7 @@
         request: requests.Completion,
         index: int,
         version: str,
-        done: running.StepDone,
+        done: running.StepResult,
         began_ms: float,
     ) -> None:
         """Offer a step's answer for rating and record its duration."""
