--- a/src/carawayward/gateway/app.py
+++ b/src/carawayward/gateway/app.py
@@ -273,6 +273,7 @@
 async def handle_bad_request(
     request: http_requests.Request, fault: Exception
 ) -> responses.Response:
+    """Reply to a malformed request."""
     assert isinstance(fault, errors.BadRequest)
     return replies.make_bad_request(fault)
 
--- a/src/carawayward/gateway/completion_reply.py
+++ b/src/carawayward/gateway/completion_reply.py
@@ -100,8 +100,8 @@
             await self._start_response(send)
             await _send_body(send, replies.encode_end(key, outcome), False)
         else:
-            whole = replies.make_completion(outcome, key)
-            await whole(scope, receive, send)
+            reply = replies.make_completion(outcome, key)
+            await reply(scope, receive, send)
 
     async def _start_response(self, send: types.Send) -> None:
         if self.started:
