--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -99,7 +99,7 @@
     for case, cut in cases.items():
         with deployment.Deployment(plan) as running:
             time.sleep(5)
-            running.switch("log", cut=cut)
+            running.set_faults("log", cut=cut)
             time.sleep(12 if cut else 0)
             publish_many(running, OUTAGE_GAP_S if cut else GAP_S)
             time.sleep(3)
--- a/tests/common/deployment.py
+++ b/tests/common/deployment.py
@@ -46,7 +46,7 @@
     entry_vms: int
     pools: tuple[Pool, ...]
     declaration: str
-    quiet: bool = False
+    without_rollouts: bool = False
     settings: dict = attrs.field(factory=dict)
 
 
@@ -82,7 +82,7 @@
 
 
 @attrs.define
-class Reply:
+class Response:
     """An HTTP answer."""
 
     status: int
@@ -101,7 +101,7 @@
     body: object = None,
     headers: dict[str, str] | None = None,
     timeout_s: float = 30.0,
-) -> Reply:
+) -> Response:
     """Make one HTTP call over a connection of its own."""
     timeouts: dict[str, float] = {
         name: timeout_s for name in ("connect", "read", "write", "pool")
@@ -119,7 +119,7 @@
         name.decode().lower(): value.decode("latin-1")
         for name, value in response.headers
     }
-    return Reply(response.status, got, response.content)
+    return Response(response.status, got, response.content)
 
 
 @attrs.define
@@ -167,13 +167,13 @@
         """Start stand-ins, publish the declaration, start entry VMs."""
         self.start_platform()
         self.start_endpoints()
-        self.list_vms()
-        if self.plan.quiet:
-            self.leave_out_changes()
+        self.send_vm_list()
+        if self.plan.without_rollouts:
+            self.drop_rollouts_and_pools()
         self.publish(self.plan.declaration)
         self.start_entry_vms()
 
-    def leave_out_changes(self) -> None:
+    def drop_rollouts_and_pools(self) -> None:
         """Use the declaration without its roll-outs and pools.
 
         A test about something else must not meet a canary by chance, nor
@@ -232,7 +232,7 @@
                 env=self.environment,
             )
 
-    def list_vms(self) -> None:
+    def send_vm_list(self) -> None:
         """Tell the VM list's stand-in which endpoints there are."""
         domains = self.plan.failure_domains
         vms = [
@@ -263,10 +263,10 @@
         )
         return done.stdout.strip()
 
-    def place_entry_vms(self, spares: int = 0) -> None:
+    def allocate_entry_vms(self, spare_count: int = 0) -> None:
         """Give every entry VM a name, a failure domain and addresses."""
         domains = self.plan.failure_domains
-        count = self.plan.entry_vms + spares
+        count = self.plan.entry_vms + spare_count
         ports = loopback.find_free_ports(3 * count)
         for number in range(count):
             callers, peers, operators = (
@@ -285,7 +285,7 @@
 
     def start_entry_vms(self) -> None:
         """Start all entry VMs and wait until they are ready."""
-        self.place_entry_vms()
+        self.allocate_entry_vms()
         for vm in self.entry_vms:
             self.start_entry_vm(vm)
         for vm in self.entry_vms:
@@ -334,11 +334,11 @@
         output = (self.folder / f"{vm.name}.out").read_text()
         raise TimeoutError(f"{vm.name} did not become ready:\n{output}")
 
-    def runs_of(self, name: str) -> list[dict]:
+    def fetch_runs(self, name: str) -> list[dict]:
         """Every run that an endpoint has made."""
         return call("GET", self.addresses[name], "/runs").json()
 
-    def switch(self, name: str, **faults: object) -> None:
+    def set_faults(self, name: str, **faults: object) -> None:
         """Switch faults of a stand-in on or off."""
         call("POST", self.addresses[name], "/control", faults)
 
--- a/tests/common/linked.py
+++ b/tests/common/linked.py
@@ -94,11 +94,11 @@
 class LinkedDeployment(deployment.Deployment):
     """A deployment with a relay between its parts, and its faults.
 
-    ``spares`` entry VMs have addresses and links and are started later.
+    ``spare_count`` entry VMs have addresses and links and are started later.
     """
 
     plan: deployment.Plan = SMALL
-    spares: int = 0
+    spare_count: int = 0
     daemon: str = DAEMON
     links: dict[str, list[int]] = attrs.field(factory=dict)
     waiting: list[deployment.EntryProcess] = attrs.field(factory=list)
@@ -111,9 +111,9 @@
         published = self.publish_document(make_document(), 0)
         if not published.accepted:
             raise RuntimeError(published.text)
-        self.place_entry_vms(self.spares)
+        self.allocate_entry_vms(self.spare_count)
         self.start_relay()
-        self.list_vms()
+        self.send_vm_list()
         self.waiting = self.entry_vms[self.plan.entry_vms :]
         del self.entry_vms[self.plan.entry_vms :]
         for vm in self.entry_vms:
@@ -144,7 +144,7 @@
         self.start_standin("link", "tests.standins.link", "--file", str(file))
         loopback.wait_until_listening(self.addresses["link"])
 
-    def list_vms(self, leaving: typing.Collection[str] = ()) -> None:
+    def send_vm_list(self, leaving: typing.Collection[str] = ()) -> None:
         """List endpoints, each under the address of the viewer's link."""
         domains = self.plan.failure_domains
         vms = [
@@ -230,7 +230,7 @@
             stream.sendall(json.dumps(order).encode() + b"\n")
             assert stream.recv(16)
 
-    def domain_of(self, name: str) -> str:
+    def get_failure_domain(self, name: str) -> str:
         """Failure domain of a VM; the platform is in none of them."""
         for vm in [*self.entry_vms, *self.waiting]:
             if vm.name == name:
@@ -241,11 +241,11 @@
                 return domains[names.index(name) % len(domains)]
         return "platform"
 
-    def links_between(self, one: str, other: str) -> list[str]:
+    def find_links(self, one: str, other: str) -> list[str]:
         """Links between two failure domains, either way."""
         found = []
         for link in self.links:
-            ends = {self.domain_of(name) for name in link.split(">")}
+            ends = {self.get_failure_domain(name) for name in link.split(">")}
             if ends == {one, other}:
                 found.append(link)
         return found
@@ -257,7 +257,7 @@
             link
             for domain in domains
             for other in others
-            for link in self.links_between(domain, other)
+            for link in self.find_links(domain, other)
         ]
         self.switch_links(links, mode)
         return links
@@ -272,12 +272,12 @@
         vm.process.kill()
         vm.process.wait()
 
-    def freeze(self, vm: deployment.EntryProcess) -> None:
+    def suspend(self, vm: deployment.EntryProcess) -> None:
         """Stop an entry VM where it stands; it notices nothing."""
         assert vm.process is not None
         vm.process.send_signal(signal.SIGSTOP)
 
-    def wake(self, vm: deployment.EntryProcess) -> None:
+    def resume(self, vm: deployment.EntryProcess) -> None:
         """Let a frozen entry VM go on."""
         assert vm.process is not None
         vm.process.send_signal(signal.SIGCONT)
@@ -301,7 +301,7 @@
         self.entry_vms.remove(vm)
         return spare
 
-    def log_records(self, stream: str) -> list[dict]:
+    def fetch_all_records(self, stream: str) -> list[dict]:
         """Every record ever appended, forgotten ones too."""
         log = self.addresses["log"]
         return deployment.call("GET", log, f"/all/{stream}").json()
--- a/tests/common/streaming.py
+++ b/tests/common/streaming.py
@@ -23,7 +23,7 @@
     """Plan a small deployment whose engines can be made to fail."""
     return attrs.evolve(
         deployment.ODUYA,
-        quiet=True,
+        without_rollouts=True,
         entry_vms=entry_vms,
         pools=(
             deployment.Pool(
--- a/tests/demo.py
+++ b/tests/demo.py
@@ -137,14 +137,14 @@
     return make_result(job, reply, plan, extra["cost"], wrong)
 
 
-def read_whole(reply: deployment.Reply) -> tuple[str, str, dict]:
+def read_whole(reply: deployment.Response) -> tuple[str, str, dict]:
     """Text, model and extras of an answer that came whole."""
     body = reply.json()
     text = body["choices"][0]["message"]["content"]
     return text, body["model"], body["carawayward"]
 
 
-def read_stream(reply: deployment.Reply) -> tuple[str, str, dict]:
+def read_stream(reply: deployment.Response) -> tuple[str, str, dict]:
     """Text, model and extras of a streamed answer."""
     events = [
         json.loads(line[6:])
@@ -182,7 +182,7 @@
 
 def make_result(
     job: Job,
-    reply: deployment.Reply,
+    reply: deployment.Response,
     plan: str = "",
     cost: float = 0.0,
     wrong: str = "",
@@ -231,7 +231,9 @@
     for pool in running.plan.pools:
         if not pool.versions:
             for name in running.pools[pool.name]:
-                runs.update(r["body"]["text"] for r in running.runs_of(name))
+                runs.update(
+                    r["body"]["text"] for r in running.fetch_runs(name)
+                )
     for job, result in zip(jobs, results, strict=True):
         expected = 1 if result.status == 200 else 0
         if job.kind == "once" and runs[job.text] != expected:
--- a/tests/demo_forwarded.py
+++ b/tests/demo_forwarded.py
@@ -39,7 +39,7 @@
         for version in ("v1", "v2")
         for number in range(2)
     ]
-    desks[0].always = backend.decline
+    desks[0].always = backend.answer_not_executed
     engines = [
         backend.Backend(
             f"engine-{number}",
--- a/tests/failures/test_agreed_billing.py
+++ b/tests/failures/test_agreed_billing.py
@@ -22,7 +22,7 @@
 }
 
 
-def complete(vm: deployment.EntryProcess, key: str) -> deployment.Reply:
+def complete(vm: deployment.EntryProcess, key: str) -> deployment.Response:
     """Ask for a completion under a caller's own key."""
     return deployment.call(
         "POST",
@@ -56,7 +56,7 @@
     """
     with once.run_linked(SMALL) as running:
         vm = running.entry_vms[0]
-        running.switch("log", down=True)
+        running.set_faults("log", down=True)
         keys = {f"dark-{number}" for number in range(5)}
         for key in keys:
             assert complete(vm, key).status == 200
@@ -65,7 +65,7 @@
         vm.process.wait()
         running.start_entry_vm(vm)
         time.sleep(1.0)
-        running.switch("log", down=False)
+        running.set_faults("log", down=False)
         assert once.wait_until(lambda: keys <= list_billed(running), 25)
 
 
@@ -76,12 +76,12 @@
     """
     with once.run_linked(SMALL) as running:
         vm = running.entry_vms[0]
-        running.switch("log", down=True)
+        running.set_faults("log", down=True)
         assert complete(vm, "handed").status == 200
         assert vm.process is not None
         vm.process.send_signal(signal.SIGTERM)
         assert vm.process.wait(20) == 0
-        running.switch("log", down=False)
+        running.set_faults("log", down=False)
         assert once.wait_until(lambda: "handed" in list_billed(running))
 
 
@@ -92,7 +92,7 @@
     not.
     """
     with once.run_linked(SMALL) as running:
-        running.switch("log", lose_answers=2, lose_in="billing")
+        running.set_faults("log", lose_answers=2, lose_in="billing")
         assert complete(running.entry_vms[0], "twice").status == 200
         assert once.wait_until(lambda: len(read_bills(running)) >= 3, 30)
         file = str(running.folder / "ledger")
@@ -111,7 +111,7 @@
     alone = attrs.evolve(SMALL, entry_vms=1)
     with deployment.Deployment(alone) as running:
         vm = running.entry_vms[0]
-        running.switch("log", down=True)
+        running.set_faults("log", down=True)
         began = time.monotonic()
         first = complete(vm, "first")
         assert (first.status, first.json()["not_run"]) == (502, False)
@@ -119,7 +119,7 @@
         second = complete(vm, "second")
         assert second.json()["reason"] == "not-billable"
         assert second.json()["not_run"] is True
-        running.switch("log", down=False)
+        running.set_faults("log", down=False)
         assert once.wait_until(lambda: "first" in list_billed(running))
         assert once.wait_until(lambda: complete(vm, "third").status == 200)
         assert "second" not in list_billed(running)
--- a/tests/failures/test_agreed_config.py
+++ b/tests/failures/test_agreed_config.py
@@ -13,7 +13,7 @@
 
 SMALL = attrs.evolve(
     deployment.ODUYA,
-    quiet=True,
+    without_rollouts=True,
     entry_vms=3,
     pools=(
         deployment.Pool(
@@ -59,8 +59,8 @@
     """
     with once.run_linked(SMALL) as running:
         cut, *rest = running.entry_vms
-        running.switch("log", cut=[cut.name])
-        running.switch("log", lose_answers=1, lose_in="configuration")
+        running.set_faults("log", cut=[cut.name])
+        running.set_faults("log", lose_answers=1, lose_in="configuration")
         file = write_changed(running, "changed.yaml", cost=0.3)
         assert running.publish(file) == "revision 2 is in the log"
         assert once.wait_until(
@@ -82,13 +82,13 @@
     """
     with once.run_linked(SMALL) as running:
         assert all(read_status(vm)["fresh"] for vm in running.entry_vms)
-        running.switch("log", down=True)
+        running.set_faults("log", down=True)
         assert once.wait_until(
             lambda: (
                 not any(read_status(vm)["fresh"] for vm in running.entry_vms)
             )
         )
-        running.switch("log", down=False)
+        running.set_faults("log", down=False)
         assert once.wait_until(
             lambda: all(read_status(vm)["fresh"] for vm in running.entry_vms)
         )
@@ -101,7 +101,7 @@
     must start with the newest revision, from snapshots and peers.
     """
     with once.run_linked(SMALL) as running:
-        running.switch("log", retain=8)
+        running.set_faults("log", retain=8)
         for number in range(1, 13):
             file = write_changed(running, "next.yaml", cost=float(number))
             assert once.wait_until(
--- a/tests/failures/test_agreed_membership.py
+++ b/tests/failures/test_agreed_membership.py
@@ -11,7 +11,7 @@
 
 SMALL = attrs.evolve(
     deployment.ODUYA,
-    quiet=True,
+    without_rollouts=True,
     entry_vms=3,
     pools=(deployment.Pool(name="matchers", count=2, versions=("sorter-3",)),),
 )
@@ -30,16 +30,16 @@
     send it anything, or the work is cut off with it.
     """
     with once.run_linked(SMALL) as running:
-        running.switch("vms", down=True)
-        running.switch("log", down=True)
-        running.switch("matchers-0", leaving=True)
+        running.set_faults("vms", down=True)
+        running.set_faults("log", down=True)
+        running.set_faults("matchers-0", leaving=True)
         assert once.wait_until(
             lambda: all(
                 show_endpoints(vm)["matchers-0"] for vm in running.entry_vms
             ),
             6.0,
         )
-        before = len(running.runs_of("matchers-0"))
+        before = len(running.fetch_runs("matchers-0"))
         for vm in running.entry_vms * 3:
             reply = deployment.call(
                 "POST",
@@ -52,7 +52,7 @@
                 once.AUTH,
             )
             assert reply.status == 200, reply.content
-        assert len(running.runs_of("matchers-0")) == before
+        assert len(running.fetch_runs("matchers-0")) == before
 
 
 def test_newcomer_without_a_list_learns_endpoints_from_its_peers():
@@ -61,7 +61,7 @@
     It has to serve: its peers know the endpoints.
     """
     with once.run_linked(SMALL) as running:
-        running.switch("vms", down=True)
+        running.set_faults("vms", down=True)
         vm = running.entry_vms[0]
         assert vm.process is not None
         vm.process.kill()
--- a/tests/failures/test_agreed_once.py
+++ b/tests/failures/test_agreed_once.py
@@ -12,7 +12,7 @@
 
 SMALL = attrs.evolve(
     deployment.ODUYA,
-    quiet=True,
+    without_rollouts=True,
     entry_vms=3,
     pools=(deployment.Pool(name="swap-desk", count=2),),
 )
@@ -23,7 +23,7 @@
 
 def call_once(
     vm: deployment.EntryProcess, swap: str, **headers: str
-) -> deployment.Reply:
+) -> deployment.Response:
     """Call the non-repeatable operation through an entry VM."""
     extra_headers = {
         name.replace("_", "-"): text for name, text in headers.items()
@@ -35,7 +35,7 @@
 
 def call_keyed(
     vm: deployment.EntryProcess, swap: str, made_ms: int = 0, **more: str
-) -> deployment.Reply:
+) -> deployment.Response:
     """Call the operation under the caller's own key, made now by default."""
     return call_once(
         vm,
@@ -63,7 +63,7 @@
     return sum(
         run["body"] == {"swap": swap}
         for name in running.pools["swap-desk"]
-        for run in running.runs_of(name)
+        for run in running.fetch_runs(name)
     )
 
 
@@ -136,7 +136,7 @@
     second time; one that gives up would lose it although its claim has won.
     """
     with run_linked(SMALL) as running:
-        running.switch("log", lose_answers=1, lose_in="claims")
+        running.set_faults("log", lose_answers=1, lose_in="claims")
         reply = call_keyed(running.entry_vms[0], "lost")
         assert reply.status == 200
         again = call_keyed(running.entry_vms[1], "lost")
@@ -154,7 +154,7 @@
     with run_linked(SMALL) as running:
         vm = running.entry_vms[0]
         ticket = get_ticket(vm)
-        running.switch("log", down=True)
+        running.set_faults("log", down=True)
         time.sleep(2.5)
         started_s = time.monotonic()
         reply = call_keyed(vm, "dark")
@@ -166,7 +166,7 @@
         other = running.entry_vms[1]
         ran = call_once(other, "lit", Carawayward_Ticket=ticket)
         assert ran.status == 200
-        running.switch("log", down=False)
+        running.set_faults("log", down=False)
         assert wait_until(lambda: call_keyed(vm, "dark").status == 200)
         assert count_runs(running, "dark") == count_runs(running, "lit") == 1
 
@@ -180,7 +180,7 @@
     with run_linked(SMALL) as running:
         issuer, other = running.entry_vms[:2]
         for name in running.pools["swap-desk"]:
-            running.switch(name, slow_ms=1_500)
+            running.set_faults(name, slow_ms=1_500)
         ticket = get_ticket(issuer)
         with concurrent.futures.ThreadPoolExecutor(3) as pool:
             calls = [
@@ -225,12 +225,12 @@
     with run_linked(SMALL) as running:
         vm = running.entry_vms[0]
         for name in running.pools["swap-desk"]:
-            running.switch(name, down=True)
+            running.set_faults(name, down=True)
         ticket = get_ticket(vm)
         reply = call_once(vm, "half", Carawayward_Ticket=ticket)
         assert (reply.status, reply.json()["not_run"]) == (504, False)
         for name in running.pools["swap-desk"]:
-            running.switch(name, down=False)
+            running.set_faults(name, down=False)
         again = call_once(vm, "half", Carawayward_Ticket=ticket)
         assert again.status == 504
         assert count_runs(running, "half") == 0
--- a/tests/failures/test_forwarding_plain.py
+++ b/tests/failures/test_forwarding_plain.py
@@ -86,7 +86,7 @@
     async def main():
         desks = make_desks()
         for desk in desks:
-            desk.behaviours = [backend.decline]
+            desk.behaviours = [backend.answer_not_executed]
         async with forwarding.open_forwarding(*desks) as made:
             desks[1].behaviours = []
             for _ in range(4):
@@ -102,7 +102,7 @@
     async def main():
         desks = make_desks()
         for desk in desks:
-            desk.always = backend.decline
+            desk.always = backend.answer_not_executed
         async with forwarding.open_forwarding(*desks) as made:
             answer = await made.call("POST", "/log/")
         assert answer.status == 503
@@ -132,22 +132,22 @@
     A retry would run it twice; a status for "has not run" would make the
     caller retry.
     """
-    check_unsafe_request_runs_once(backend.lose_answer)
+    check_unsafe_request_runs_once(backend.reset_after_run)
 
 
 def test_unsafe_request_with_a_malformed_response_runs_once():
     """The server runs the request and sends bytes that are not HTTP."""
-    check_unsafe_request_runs_once(backend.answer_junk)
+    check_unsafe_request_runs_once(backend.answer_malformed)
 
 
 def test_unsafe_request_with_a_truncated_response_runs_once():
     """The response is shorter than its Content-Length."""
-    check_unsafe_request_runs_once(backend.answer_short)
+    check_unsafe_request_runs_once(backend.answer_truncated)
 
 
 def test_unsafe_request_with_another_requests_response_runs_once():
     """The response has another request's id; it must not be relayed."""
-    check_unsafe_request_runs_once(backend.answer_foreign)
+    check_unsafe_request_runs_once(backend.answer_other_request)
 
 
 def test_unsafe_request_with_an_unsigned_success_runs_once():
@@ -160,7 +160,7 @@
 
     If that were relayed, the caller would take it for not run and retry.
     """
-    check_unsafe_request_runs_once(backend.fail_as_if_full)
+    check_unsafe_request_runs_once(backend.answer_unmarked_503)
 
 
 def test_retry_after_differs_between_refused_callers():
@@ -171,7 +171,7 @@
 
     async def main():
         (desk,) = make_desks(1)
-        desk.always = backend.decline
+        desk.always = backend.answer_not_executed
         async with forwarding.open_forwarding(desk) as made:
             times = {
                 (await made.call("POST", "/log/")).headers["retry-after"]
@@ -204,10 +204,10 @@
 def test_safe_request_is_retried_after_each_kind_of_bad_response():
     """A safe request may run twice: a bad response costs one attempt only."""
     for behaviour in (
-        backend.lose_answer,
-        backend.answer_junk,
-        backend.answer_short,
-        backend.answer_foreign,
+        backend.reset_after_run,
+        backend.answer_malformed,
+        backend.answer_truncated,
+        backend.answer_other_request,
         backend.answer_unsealed,
         backend.fail,
     ):
@@ -221,7 +221,7 @@
         desks = make_desks()
         async with forwarding.open_forwarding(*desks) as made:
             for desk in desks:
-                desk.behaviours = [backend.lose_answer]
+                desk.behaviours = [backend.reset_after_run]
             await made.call("GET", "/look/")
             answer = await made.call("GET", "/look/")
         assert answer.status == 200
@@ -329,7 +329,7 @@
 
     async def main():
         desks = make_desks(3)
-        desks[0].always = backend.decline
+        desks[0].always = backend.answer_not_executed
         for desk in desks[1:]:
             desk.always = respond_slowly
         statuses: list[int] = []
@@ -352,7 +352,7 @@
 async def respond_slowly(server, exchange):
     """Respond after a delay, as a busy server does."""
     await trio.sleep(0.05)
-    await backend.run_well(server, exchange)
+    await backend.answer_normally(server, exchange)
 
 
 def test_silent_server_ends_in_504_at_the_routes_timeout():
--- a/tests/failures/test_forwarding_streams.py
+++ b/tests/failures/test_forwarding_streams.py
@@ -86,7 +86,7 @@
     async def main():
         engines = make_engines(events=6, confidence={"small": 90.0})
         for engine in engines:
-            engine.behaviours = [backend.break_after(2, torn=True)]
+            engine.behaviours = [backend.break_after(2, cut_within_event=True)]
         async with forwarding.open_forwarding(*engines) as made:
             answer = await made.request_stream()
         assert forwarding.read_numbers(answer.body) == [1, 2, 3, 4, 5, 6]
@@ -335,7 +335,7 @@
 
     async def respond_late(engine, exchange):
         await trio.sleep(1.0)
-        await backend.run_well(engine, exchange)
+        await backend.answer_normally(engine, exchange)
 
     async def main():
         engines = make_engines()
--- a/tests/failures/test_load_queue.py
+++ b/tests/failures/test_load_queue.py
@@ -9,7 +9,7 @@
 
 SINGLE_ENGINE = attrs.evolve(
     deployment.ODUYA,
-    quiet=True,
+    without_rollouts=True,
     entry_vms=1,
     pools=(
         deployment.Pool(
@@ -47,7 +47,7 @@
         vm = running.entry_vms[0]
         for number in range(6):
             assert ask(vm, f"warm {number}").status == 200
-        before = len(running.runs_of("matchers-0"))
+        before = len(running.fetch_runs("matchers-0"))
         with concurrent.futures.ThreadPoolExecutor(121) as pool:
             burst = [
                 pool.submit(ask, vm, f"burst {number}")
@@ -64,7 +64,7 @@
             assert reply.status in (429, 503), reply.content
             assert reply.json()["not_run"] is True
             assert int(reply.headers["retry-after"]) >= 0
-        ran = len(running.runs_of("matchers-0")) - before
+        ran = len(running.fetch_runs("matchers-0")) - before
         assert ran == len(answered) + 1
 
 
@@ -76,11 +76,11 @@
     """
     with deployment.Deployment(streaming.make_plan()) as running:
         for name in running.pools["matchers"]:
-            running.switch(name, break_after=0, forget=True)
+            running.set_faults(name, break_after=0, forget=True)
         reply = ask(running.entry_vms[0], "match")
         assert reply.status == 504
         assert reply.json()["not_run"] is False
-        runs = [running.runs_of(name) for name in running.pools["matchers"]]
+        runs = [running.fetch_runs(name) for name in running.pools["matchers"]]
         assert sum(map(len, runs)) >= 2
 
 
--- a/tests/failures/test_load_suspects.py
+++ b/tests/failures/test_load_suspects.py
@@ -13,7 +13,7 @@
 CRASH_MARK = "crash-me"
 SMALL = attrs.evolve(
     deployment.ODUYA,
-    quiet=True,
+    without_rollouts=True,
     entry_vms=4,
     pools=(
         deployment.Pool(
@@ -49,7 +49,7 @@
 
 def enable_crashes(running):
     for name in running.pools["matchers"]:
-        running.switch(name, crash_mark=CRASH_MARK)
+        running.set_faults(name, crash_mark=CRASH_MARK)
 
 
 def wait_until_convicted(vm, text):
@@ -146,7 +146,7 @@
         vm = running.entry_vms[0]
         for number in range(30):
             assert ask(vm, f"warm {number}").status == 200
-        running.switch("matchers-0", silent=True)
+        running.set_faults("matchers-0", silent=True)
         took = []
         for number in range(60):
             began = time.monotonic()
--- a/tests/failures/test_path_silence.py
+++ b/tests/failures/test_path_silence.py
@@ -176,7 +176,7 @@
     plan = streaming.make_plan(limits=limits)
     with deployment.Deployment(plan) as running:
         for name in running.pools["matchers"]:
-            running.switch(name, token_ms=0)
+            running.set_faults(name, token_ms=0)
         address = running.entry_vms[0].callers
         text = "unread tokens=400000"
         with streaming.open_stream(address, text) as response:
--- a/tests/failures/test_path_stop.py
+++ b/tests/failures/test_path_stop.py
@@ -119,7 +119,7 @@
     with deployment.Deployment(plan) as running:
         vm = running.entry_vms[0]
         for name in running.pools["matchers"]:
-            running.switch(name, token_ms=0)
+            running.set_faults(name, token_ms=0)
         text = "stuck tokens=200000"
         with streaming.open_stream(vm.callers, text) as response:
             chunks = response.iter_stream()
--- a/tests/failures/test_path_streams.py
+++ b/tests/failures/test_path_streams.py
@@ -17,12 +17,12 @@
 def switch_engines(running: deployment.Deployment, **faults: object) -> None:
     """Switch faults on all engines."""
     for name in running.pools["matchers"]:
-        running.switch(name, **faults)
+        running.set_faults(name, **faults)
 
 
 def count_runs(running: deployment.Deployment) -> int:
     """Count the runs that all engines have begun."""
-    return sum(len(running.runs_of(n)) for n in running.pools["matchers"])
+    return sum(len(running.fetch_runs(n)) for n in running.pools["matchers"])
 
 
 def test_broken_stream_is_resumed_from_the_same_run():
@@ -94,7 +94,7 @@
     being refused.
     """
     with start() as running:
-        running.switch("matchers-0", break_after=0, forget=True)
+        running.set_faults("matchers-0", break_after=0, forget=True)
         for number in range(4):
             text = f"anew {number}"
             answer = streaming.ask(running.entry_vms[0].callers, text)
@@ -149,7 +149,7 @@
                 return before == token_count[0] > 0
 
             for name in running.pools["matchers"]:
-                running.switch(name, token_ms=0)
+                running.set_faults(name, token_ms=0)
             assert streaming.wait_for(has_stalled, 30.0)
             assert streaming.count_states(running, "running") == 1
             assert token_count[0] < 400_000
--- a/tests/failures/test_proofs.py
+++ b/tests/failures/test_proofs.py
@@ -37,7 +37,7 @@
     headers: dict[str, str],
     text: str,
     timeout_s: float = 10.0,
-) -> deployment.Reply | None:
+) -> deployment.Response | None:
     """Call an operation that may not be repeated; None for no answer."""
     path = "/v1/services/desk/log"
     try:
@@ -53,7 +53,7 @@
     return sum(
         run["body"]["text"] == text
         for name in running.pools["desk"]
-        for run in running.runs_of(name)
+        for run in running.fetch_runs(name)
     )
 
 
@@ -96,7 +96,7 @@
             assert first.result() is None
         time.sleep(DISPATCH_WITHIN_S + 0.5)
         assert count_runs(running, "swap") == 0
-        running.wake(vm)
+        running.resume(vm)
         wait_until(lambda: not is_stopped(vm))
         time.sleep(1.5)
         return count_runs(running, "swap")
@@ -122,7 +122,7 @@
     with linked.LinkedDeployment(plan=THREE, daemon=daemon) as running:
         issuer, *others = running.entry_vms
         for name in running.pools["desk"]:
-            running.switch(name, late_ms=600)
+            running.set_faults(name, late_ms=600)
         headers = take_ticket(issuer)
         with concurrent.futures.ThreadPoolExecutor(3) as pool:
             replies = list(
@@ -227,7 +227,7 @@
     """Runs of a version after its withdrawal was in force everywhere."""
     with linked.LinkedDeployment(plan=THREE, daemon=daemon) as running:
         for name in running.pools["engines"]:
-            running.switch(name, late_ms=700)
+            running.set_faults(name, late_ms=700)
         recorder = recorder_module.Recorder(running)
         work = recorder.work(seed=1, callers=40)
         time.sleep(3.0)
@@ -273,15 +273,17 @@
         recorder = recorder_module.Recorder(running)
         vm = running.entry_vms[0]
         time.sleep(1.5)
-        running.switch("log", down=True)
+        running.set_faults("log", down=True)
         running.entry_vms = [vm]
         for number in range(5):
             draw = random.Random(number)
             recorder.send(f"b-{number}", "quick", "alpha", draw)
-        running.freeze(vm)
-        running.switch("log", down=False)
-        wait_until(lambda: len(running.log_records("billing")) >= 5, 30.0)
-        running.wake(vm)
+        running.suspend(vm)
+        running.set_faults("log", down=False)
+        wait_until(
+            lambda: len(running.fetch_all_records("billing")) >= 5, 30.0
+        )
+        running.resume(vm)
         time.sleep(2.0)
         history = recorder.collect()
         kinds = [call.kind for call in history.calls]
@@ -322,7 +324,7 @@
     left. A key that ran on the first node is sent once more, a session goes
     on, the configuration stands, and every answer has its bill.
     """
-    with linked.LinkedDeployment(plan=TWO, spares=2) as running:
+    with linked.LinkedDeployment(plan=TWO, spare_count=2) as running:
         time.sleep(1.5)
         key = {
             **AUTH,
--- a/tests/failures/test_quality_console.py
+++ b/tests/failures/test_quality_console.py
@@ -167,7 +167,7 @@
     """
     good = "examples/oduya.yaml"
     # The whole example goes out, so that the file has no difference to it.
-    plan = attrs.evolve(test_whole_path.SMALL, quiet=False)
+    plan = attrs.evolve(test_whole_path.SMALL, without_rollouts=False)
     with deployment.Deployment(plan) as running:
         bad = running.folder / "bad.yaml"
         text = pathlib.Path(good).read_text()
@@ -190,5 +190,5 @@
         assert run_on_log(running, "withdraw", "sorter-4").returncode == 0
         unasked = run_on_log(running, "rollback")
         assert unasked.returncode == 1 and "sorter-4" in unasked.stderr
-        running.switch("log", down=True)
+        running.set_faults("log", down=True)
         assert run_on_log(running, "diff", good).returncode == 4
--- a/tests/failures/test_quality_live.py
+++ b/tests/failures/test_quality_live.py
@@ -107,7 +107,7 @@
     the roll-out, and it is passed to the end.
     """
     with deployment.Deployment(make_plan()) as running:
-        running.switch("ratings", good={"sorter-4": 0.0})
+        running.set_faults("ratings", good={"sorter-4": 0.0})
         log = f"http://{running.addresses['log']}"
         tool = test_product_tools.run_tool
         answered = ask_until(running, lambda: is_halted(running))
@@ -119,7 +119,7 @@
         assert "halted: worse than its baseline" in shown
         status = tool("status", running.entry_vms[1].operators).stdout
         assert "roll-out sorter-4-december: halted" in status
-        running.switch("ratings", good={})
+        running.set_faults("ratings", good={})
         name = "sorter-4-december"
         resumed = tool("resume", name, "--log", log)
         assert resumed.returncode == 0, resumed
--- a/tests/failures/test_quality_orders.py
+++ b/tests/failures/test_quality_orders.py
@@ -101,7 +101,7 @@
     with deployment.Deployment(make_plan(6)) as running:
         store = running.addresses["weights"]
         for name in running.pools["matchers"]:
-            running.switch(name, weights=store)
+            running.set_faults(name, weights=store)
         publish_versions(running, NEW)
         wait_until_loaded(running, set(NEW))
         assert count_at_once(running) <= 2
@@ -117,7 +117,7 @@
     """
     with deployment.Deployment(make_plan(2)) as running:
         for name in running.pools["matchers"]:
-            running.switch(name, lose_order_answers=1)
+            running.set_faults(name, lose_order_answers=1)
         publish_versions(running, NEW)
         wait_until_loaded(running, set(NEW))
         for name in running.pools["matchers"]:
@@ -130,7 +130,7 @@
         publish_versions(running, NEW)
         wait_until_loaded(running, set(NEW))
         name = running.pools["matchers"][0]
-        running.switch(name, ignore_fencing=ignore_fencing, load_ms=100)
+        running.set_faults(name, ignore_fencing=ignore_fencing, load_ms=100)
         old = {"fencing": 1, "versions": ["sorter-3"], "role": "mixed"}
         address = running.addresses[name]
         reply = deployment.call("PUT", address, "/order", old)
@@ -157,7 +157,7 @@
     """
     with deployment.Deployment(make_plan(4)) as running:
         for name in running.pools["matchers"]:
-            running.switch(name, ignore_fencing=True)
+            running.set_faults(name, ignore_fencing=True)
         process = running.entry_vms[0].process
         assert process is not None
         publish_versions(running, NEW)
--- a/tests/failures/test_whole_path.py
+++ b/tests/failures/test_whole_path.py
@@ -7,7 +7,7 @@
 
 SMALL = attrs.evolve(
     deployment.ODUYA,
-    quiet=True,
+    without_rollouts=True,
     entry_vms=2,
     pools=(
         deployment.Pool(
--- a/tests/history/recorder.py
+++ b/tests/history/recorder.py
@@ -148,7 +148,7 @@
 
     def ask(
         self, vm: deployment.EntryProcess, path: str, headers: dict[str, str]
-    ) -> deployment.Reply:
+    ) -> deployment.Response:
         """Make a call that is no request by itself."""
         return deployment.call("POST", vm.callers, path, {}, headers, 3.0)
 
@@ -242,7 +242,7 @@
                 data=record["data"],
             )
             for stream in ("configuration", "billing", "claims")
-            for record in self.running.log_records(stream)
+            for record in self.running.fetch_all_records(stream)
         ]
         self.history.runs = [
             make_run(name, run)
@@ -257,9 +257,9 @@
         left = []
         output = (self.running.folder / f"{name}.out").read_text()
         for line in output.splitlines():
-            if line.startswith(engine.RUNS_LEFT):
-                left += json.loads(line[len(engine.RUNS_LEFT) :])
-        return left + self.running.runs_of(name)
+            if line.startswith(engine.CRASHED_RUNS_PREFIX):
+                left += json.loads(line[len(engine.CRASHED_RUNS_PREFIX) :])
+        return left + self.running.fetch_runs(name)
 
 
 @attrs.define
@@ -293,7 +293,7 @@
 
 
 def read_reply(
-    reply: deployment.Reply, completion: bool, stream: bool
+    reply: deployment.Response, completion: bool, stream: bool
 ) -> dict[str, typing.Any]:
     """Kind, text, version and cost of a reply."""
     if reply.status != 200:
@@ -310,7 +310,7 @@
     return read_stream(reply)
 
 
-def read_failure(reply: deployment.Reply) -> dict[str, typing.Any]:
+def read_failure(reply: deployment.Response) -> dict[str, typing.Any]:
     """Kind and reason of a refusal or failure."""
     try:
         body = reply.json()
@@ -323,7 +323,7 @@
     return {"kind": kind, "reason": body.get("reason", "")}
 
 
-def read_stream(reply: deployment.Reply) -> dict[str, typing.Any]:
+def read_stream(reply: deployment.Response) -> dict[str, typing.Any]:
     """A streamed answer; without an end marker it is not whole."""
     pieces = [
         json.loads(line[6:])
--- a/tests/history/search.py
+++ b/tests/history/search.py
@@ -97,9 +97,9 @@
         """Freeze an entry VM and wake it."""
         vm = self.name_vm(target)
         began_ms = recorder_module.now_ms()
-        self.running.freeze(vm)
+        self.running.suspend(vm)
         time.sleep(lasts_s)
-        self.running.wake(vm)
+        self.running.resume(vm)
         self.record_outage([vm.name], began_ms)
 
     def cut(self, target: int, lasts_s: float) -> None:
@@ -121,7 +121,7 @@
         """Cut a failure domain off from the platform alone."""
         domains = self.running.plan.failure_domains
         domain = domains[target % len(domains)]
-        links = self.running.links_between(domain, "platform")
+        links = self.running.find_links(domain, "platform")
         self.running.switch_links(links, "held")
         time.sleep(lasts_s)
         self.running.switch_links(links, "open")
@@ -129,9 +129,9 @@
     def with_log(self, lasts_s: float, **faults: typing.Any) -> None:
         """Let the log suffer for a while."""
         began_ms = recorder_module.now_ms()
-        self.running.switch("log", **faults)
+        self.running.set_faults("log", **faults)
         time.sleep(lasts_s)
-        self.running.switch("log", **dict.fromkeys(faults, 0))
+        self.running.set_faults("log", **dict.fromkeys(faults, 0))
         names = [vm.name for vm in self.running.entry_vms]
         self.record_outage(names, began_ms)
 
@@ -146,7 +146,7 @@
     def lose_answers(self, target: int, lasts_s: float) -> None:
         """Lose the answers of some appends of the system's own streams."""
         stream = ("claims", "billing")[target % 2]
-        self.running.switch(
+        self.running.set_faults(
             "log", lose_answers=1 + target // 4, lose_in=stream
         )
 
@@ -192,8 +192,8 @@
             self.history.left.append(
                 events.Left(endpoint=name, at_ms=recorder_module.now_ms())
             )
-        self.running.list_vms(leaving={name})
-        self.running.switch(name, leaving=True)
+        self.running.send_vm_list(leaving={name})
+        self.running.set_faults(name, leaving=True)
 
     def stop(self, target: int, lasts_s: float) -> None:
         """Ask an entry VM to stop, and start it anew."""
@@ -229,7 +229,9 @@
         """A marked request crashes an engine; its caller sends it again."""
         names = self.running.pools["engines"]
         for name in names:
-            self.running.switch(name, crash_mark=recorder_module.CRASH_MARK)
+            self.running.set_faults(
+                name, crash_mark=recorder_module.CRASH_MARK
+            )
         draw = random.Random(target)
         key = f"crash-{len(self.trace)}"
         mark = recorder_module.CRASH_MARK
@@ -253,10 +255,10 @@
         """An engine and a service answer late, within their timeouts."""
         names = [pool[target % 2] for pool in self.running.pools.values()]
         for name in names:
-            self.running.switch(name, late_ms=300 + 100 * target)
+            self.running.set_faults(name, late_ms=300 + 100 * target)
         time.sleep(lasts_s)
         for name in names:
-            self.running.switch(name, late_ms=0)
+            self.running.set_faults(name, late_ms=0)
 
     def play(self) -> None:
         """All faults of the seed, at their times, then repair."""
@@ -295,7 +297,7 @@
     """
     with linked.LinkedDeployment(daemon=daemon) as running:
         if retain:
-            running.switch("log", retain=retain)
+            running.set_faults("log", retain=retain)
         time.sleep(ENDPOINTS_KNOWN_S)
         run = Run(seed, running, recorder_module.Recorder(running))
         work = run.recorder.work(seed)
--- a/tests/standins/backend.py
+++ b/tests/standins/backend.py
@@ -76,7 +76,7 @@
         elif self.always is not None:
             await self.always(self, exchange)
         else:
-            await run_well(self, exchange)
+            await answer_normally(self, exchange)
 
     def begin(self, exchange: raw_http.Exchange) -> Run:
         """Note that a request runs."""
@@ -97,7 +97,9 @@
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
-async def run_well(backend: Backend, exchange: raw_http.Exchange) -> None:
+async def answer_normally(
+    backend: Backend, exchange: raw_http.Exchange
+) -> None:
     """Answer as a sound server does."""
     run = backend.begin(exchange)
     if backend.engine:
@@ -134,7 +136,9 @@
         await exchange.send_chunk(b"")
 
 
-async def decline(backend: Backend, exchange: raw_http.Exchange) -> None:
+async def answer_not_executed(
+    backend: Backend, exchange: raw_http.Exchange
+) -> None:
     """Say that the request is not run."""
     await exchange.answer(503, {"carawayward-not-executed": "1"})
 
@@ -145,7 +149,7 @@
     await exchange.answer(500, backend.seal(exchange), b"sorry")
 
 
-async def fail_as_if_full(
+async def answer_unmarked_503(
     backend: Backend, exchange: raw_http.Exchange
 ) -> None:
     """Run, then answer with the status of a full server, without its word."""
@@ -153,13 +157,15 @@
     await exchange.answer(503, backend.seal(exchange))
 
 
-async def lose_answer(backend: Backend, exchange: raw_http.Exchange) -> None:
+async def reset_after_run(
+    backend: Backend, exchange: raw_http.Exchange
+) -> None:
     """Run, then reset the connection."""
     backend.begin(exchange).ended = "lost"
     await exchange.reset()
 
 
-async def answer_foreign(
+async def answer_other_request(
     backend: Backend, exchange: raw_http.Exchange
 ) -> None:
     """Send another request's answer."""
@@ -185,14 +191,18 @@
     await exchange.stream.aclose()
 
 
-async def answer_junk(backend: Backend, exchange: raw_http.Exchange) -> None:
+async def answer_malformed(
+    backend: Backend, exchange: raw_http.Exchange
+) -> None:
     """Send bytes that are no answer."""
     backend.begin(exchange).ended = "junk"
     await exchange.stream.send_all(b"\x00\x01 this is no HTTP\r\n\r\n")
     await exchange.stream.aclose()
 
 
-async def answer_short(backend: Backend, exchange: raw_http.Exchange) -> None:
+async def answer_truncated(
+    backend: Backend, exchange: raw_http.Exchange
+) -> None:
     """Announce more than is sent, then close."""
     backend.begin(exchange).ended = "short"
     headers = {**backend.seal(exchange), "content-length": "100"}
@@ -215,13 +225,13 @@
     run.ended = "left" if not data else "more"
 
 
-def break_after(count: int, torn: bool = False) -> Behaviour:
+def break_after(count: int, cut_within_event: bool = False) -> Behaviour:
     """Stream ``count`` events and reset, perhaps amid the next one."""
 
     async def behave(backend: Backend, exchange: raw_http.Exchange) -> None:
         backend.begin(exchange).ended = "broken"
         await stream_events(backend, exchange, count, last=False)
-        if torn:
+        if cut_within_event:
             await exchange.stream.send_all(b"10\r\nid: 99\ndata: ha")
         await exchange.reset()
 
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -32,7 +32,7 @@
 BATCH = 16
 CRASH_EXIT = 70
 # A line of its output that begins so holds the runs of one that crashed.
-RUNS_LEFT = "runs left: "
+CRASHED_RUNS_PREFIX = "runs left: "
 KEEP_MS = 5_000
 
 
@@ -116,17 +116,17 @@
         """Start a run and stream it."""
         if self.faults.get("mute_posts", 0) > 0:
             self.faults["mute_posts"] -= 1
-            await serving.fall_silent()
+            await serving.hang()
         body = json.loads(await request.body())
         if self.faults.get("down") or body["version"] not in self.versions:
             return responses.Response("", 503)
         mark = self.faults.get("crash_mark")
         if mark and mark in json.dumps(body["messages"]):
             self.record_run(body)
-            print(RUNS_LEFT + json.dumps(self.runs), flush=True)
+            print(CRASHED_RUNS_PREFIX + json.dumps(self.runs), flush=True)
             os._exit(CRASH_EXIT)
         if self.faults.get("silent"):
-            await serving.fall_silent()
+            await serving.hang()
         run_id = body["run_id"]
         self.record_run(body)
         self.kept[run_id] = run = Run(body)
@@ -138,7 +138,7 @@
     async def resume(self, request: requests.Request) -> responses.Response:
         """Stream a kept run from an offset."""
         if self.faults.get("silent"):
-            await serving.fall_silent()
+            await serving.hang()
         self.free_unread()
         run = self.kept.get(request.path_params["run_id"])
         if run is None or run.state == "freed" or self.faults.get("forget"):
@@ -171,7 +171,7 @@
                 if self.strikes("break", index):
                     return
                 if self.strikes("silent", index):
-                    await serving.fall_silent()
+                    await serving.hang()
                 run.made = max(run.made, index + 1)
                 word = run.words[index]
                 text = word if index == 0 else f" {word}"
--- a/tests/standins/log.py
+++ b/tests/standins/log.py
@@ -90,10 +90,10 @@
     async def suffer(self, request: requests.Request) -> bool:
         """Apply the faults that hold for any call; True if it is down."""
         if self.faults.get("silent"):
-            await serving.fall_silent()
+            await serving.hang()
         caller = request.headers.get("X-Caller", "")
         if caller in self.faults.get("cut", ()):
-            await serving.fall_silent()
+            await serving.hang()
         await trio.sleep(self.faults.get("slow_ms", 0) / 1000)
         return bool(self.faults.get("down"))
 
@@ -114,7 +114,7 @@
             and lossy == request.path_params["stream"]
         ):
             self.faults["lose_answers"] -= 1
-            await serving.fall_silent()
+            await serving.hang()
         return responses.JSONResponse({"first": first})
 
     async def read(self, request: requests.Request) -> responses.Response:
--- a/tests/standins/orders.py
+++ b/tests/standins/orders.py
@@ -72,7 +72,7 @@
         )
         if self.faults.get("lose_order_answers", 0) > 0:
             self.faults["lose_order_answers"] -= 1
-            await serving.fall_silent()
+            await serving.hang()
         return responses.JSONResponse(self.wanted)
 
     async def begin_load(self) -> float:
--- a/tests/standins/ratings.py
+++ b/tests/standins/ratings.py
@@ -40,7 +40,7 @@
     async def suffer(self) -> bool:
         """Apply the faults that hold for any call; True if it is down."""
         if self.faults.get("silent"):
-            await serving.fall_silent()
+            await serving.hang()
         await trio.sleep(self.faults.get("slow_ms", 0) / 1000)
         return bool(self.faults.get("down"))
 
--- a/tests/standins/service.py
+++ b/tests/standins/service.py
@@ -32,7 +32,7 @@
         if self.faults.get("down"):
             return responses.Response("", 503)
         if self.faults.get("silent_before"):
-            await serving.fall_silent()
+            await serving.hang()
         self.busy += 1
         try:
             await trio.sleep(self.faults.get("slow_ms", 2) / 1000)
@@ -48,7 +48,7 @@
         )
         await trio.sleep(self.faults.get("late_ms", 0) / 1000)
         if self.faults.get("silent_after"):
-            await serving.fall_silent()
+            await serving.hang()
         return responses.JSONResponse(
             {
                 "done": operation,
--- a/tests/standins/serving.py
+++ b/tests/standins/serving.py
@@ -20,7 +20,7 @@
 Faults = dict[str, typing.Any]
 
 
-def add_control(faults: Faults) -> list[routing.Route]:
+def make_control_routes(faults: Faults) -> list[routing.Route]:
     """Routes through which tests switch faults on and off."""
 
     async def control(request: requests.Request) -> responses.Response:
@@ -31,14 +31,16 @@
     return [routing.Route("/control", control, methods=["GET", "POST"])]
 
 
-async def fall_silent() -> typing.NoReturn:
+async def hang() -> typing.NoReturn:
     """Never answer, as a peer whose packets are dropped."""
     await trio.sleep_forever()
 
 
 def serve(routes: list[routing.Route], faults: Faults, port: int) -> None:
     """Serve on loopback until a signal comes."""
-    app = applications.Starlette(routes=[*routes, *add_control(faults)])
+    app = applications.Starlette(
+        routes=[*routes, *make_control_routes(faults)]
+    )
     config = hypercorn_config.Config()
     config.bind = [f"127.0.0.1:{port}"]
     config.graceful_timeout = 0.1
