--- a/tests/standins/backend.py
+++ b/tests/standins/backend.py
@@ -1,4 +1,7 @@
-"""A server behind forwarded routes, plain or an engine, and its faults."""
+"""Stand-in for a server behind forwarded routes, and its faults.
+
+It is a plain server or, with ``engine``, one that streams events.
+"""
 
 import itertools
 import typing
@@ -8,13 +11,13 @@
 
 from tests.standins import raw_http
 
-ID = "carawayward-attempt-id"
-SEAL = "carawayward-server-seal"
+ATTEMPT_ID_HEADER = "carawayward-attempt-id"
+SEAL_HEADER = "carawayward-server-seal"
 
 
 @attrs.define(eq=False)
 class Run:
-    """One request that the server began to work on."""
+    """One request that the server started to process, and how it ended."""
 
     request: raw_http.Request
     ended: str = "running"
@@ -27,7 +30,12 @@
 
 @attrs.define(eq=False)
 class Backend:
-    """A server; ``behaviours`` says how its next requests go."""
+    """A server with configurable faults.
+
+    Each request takes the next of ``behaviours``; once they are used up,
+    ``always`` handles the rest, or a normal answer if that is None. Streams
+    have ``events`` events, ``pause_ms`` apart, and begin after ``head_ms``.
+    """
 
     name: str
     service: str = "desk"
@@ -46,11 +54,11 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address that it listens on."""
         return f"127.0.0.1:{self.port}"
 
     def describe(self, **changes: object) -> dict[str, object]:
-        """Its entry in the registry."""
+        """Its entry in the server registry, with ``changes`` applied."""
         entry: dict[str, object] = {
             "service": self.service,
             "address": self.address,
@@ -65,7 +73,10 @@
         return {**entry, **changes}
 
     async def handle(self, exchange: raw_http.Exchange) -> None:
-        """Answer one request."""
+        """Answer one request.
+
+        A request that expects another instance is refused with 421.
+        """
         self.arrivals += 1
         expected = exchange.request.headers.get("carawayward-expect-instance")
         if expected != self.name:
@@ -79,16 +90,21 @@
             await answer_normally(self, exchange)
 
     def begin(self, exchange: raw_http.Exchange) -> Run:
-        """Note that a request runs."""
+        """Record that a request is being processed."""
         run = Run(exchange.request)
         self.runs.append(run)
         return run
 
     def seal(self, exchange: raw_http.Exchange) -> dict[str, str]:
-        """The headers of an answer of its own."""
+        """The headers that mark an answer as this server's own.
+
+        They repeat the attempt's id and carry the server's seal.
+        """
         return {
-            ID: exchange.request.headers.get(ID, ""),
-            SEAL: f"{self.name}.seal",
+            ATTEMPT_ID_HEADER: exchange.request.headers.get(
+                ATTEMPT_ID_HEADER, ""
+            ),
+            SEAL_HEADER: f"{self.name}.seal",
         }
 
 
@@ -100,7 +116,7 @@
 async def answer_normally(
     backend: Backend, exchange: raw_http.Exchange
 ) -> None:
-    """Answer as a sound server does."""
+    """Answer without a fault."""
     run = backend.begin(exchange)
     if backend.engine:
         await stream_events(backend, exchange, backend.events)
@@ -113,10 +129,13 @@
 async def stream_events(
     backend: Backend,
     exchange: raw_http.Exchange,
-    most: int,
+    max_events: int,
     last: bool = True,
 ) -> None:
-    """Stream events after the last one that the caller has."""
+    """Stream at most ``max_events`` events after ``Last-Event-ID``.
+
+    With ``last`` the final chunk, which ends the body, is sent too.
+    """
     headers = backend.seal(exchange)
     model = exchange.request.headers.get("carawayward-model", "")
     if model in backend.confidence:
@@ -128,7 +147,7 @@
     )
     start = int(exchange.request.headers.get("last-event-id", 0)) + 1
     for number in itertools.count(start):
-        if number > backend.events or number - start >= most:
+        if number > backend.events or number - start >= max_events:
             break
         await exchange.send_chunk(make_event(number))
         await trio.sleep(backend.pause_ms / 1000)
@@ -139,12 +158,12 @@
 async def answer_not_executed(
     backend: Backend, exchange: raw_http.Exchange
 ) -> None:
-    """Say that the request is not run."""
+    """Refuse the request with 503, marked as not executed."""
     await exchange.answer(503, {"carawayward-not-executed": "1"})
 
 
 async def fail(backend: Backend, exchange: raw_http.Exchange) -> None:
-    """Run and answer with a failure of its own."""
+    """Execute the request, then answer with 500."""
     backend.begin(exchange).ended = "failed"
     await exchange.answer(500, backend.seal(exchange), b"sorry")
 
@@ -152,7 +171,11 @@
 async def answer_unmarked_503(
     backend: Backend, exchange: raw_http.Exchange
 ) -> None:
-    """Run, then answer with the status of a full server, without its word."""
+    """Execute the request, then answer with 503.
+
+    The header that says "not executed" is missing, so the status alone
+    must not be taken for a refusal.
+    """
     backend.begin(exchange).ended = "failed"
     await exchange.answer(503, backend.seal(exchange))
 
@@ -160,7 +183,7 @@
 async def reset_after_run(
     backend: Backend, exchange: raw_http.Exchange
 ) -> None:
-    """Run, then reset the connection."""
+    """Execute the request, then reset the connection without an answer."""
     backend.begin(exchange).ended = "lost"
     await exchange.reset()
 
@@ -168,14 +191,14 @@
 async def answer_other_request(
     backend: Backend, exchange: raw_http.Exchange
 ) -> None:
-    """Send another request's answer."""
+    """Send an answer that carries another attempt's id."""
     backend.begin(exchange).ended = "foreign"
-    headers = {**backend.seal(exchange), ID: "0123456789abcdef"}
+    headers = {**backend.seal(exchange), ATTEMPT_ID_HEADER: "0123456789abcdef"}
     await exchange.answer(200, headers, b"not yours")
 
 
 async def answer_twice(backend: Backend, exchange: raw_http.Exchange) -> None:
-    """Send a whole answer and another one behind it."""
+    """Send a complete answer, then a second one on the same connection."""
     backend.begin(exchange).ended = "twice"
     await exchange.answer(200, backend.seal(exchange), b"first")
     await exchange.answer(200, backend.seal(exchange), b"second")
@@ -184,7 +207,7 @@
 async def answer_unframed(
     backend: Backend, exchange: raw_http.Exchange
 ) -> None:
-    """Send an answer without a length, which ends with its connection."""
+    """Send an answer without a length; closing the connection ends it."""
     backend.begin(exchange).ended = "unframed"
     head = raw_http.make_head(200, backend.seal(exchange))
     await exchange.stream.send_all(head + b"all of it")
@@ -194,7 +217,7 @@
 async def answer_malformed(
     backend: Backend, exchange: raw_http.Exchange
 ) -> None:
-    """Send bytes that are no answer."""
+    """Send bytes that are not HTTP."""
     backend.begin(exchange).ended = "junk"
     await exchange.stream.send_all(b"\x00\x01 this is no HTTP\r\n\r\n")
     await exchange.stream.aclose()
@@ -203,7 +226,7 @@
 async def answer_truncated(
     backend: Backend, exchange: raw_http.Exchange
 ) -> None:
-    """Announce more than is sent, then close."""
+    """Send less than the announced content length, then close."""
     backend.begin(exchange).ended = "short"
     headers = {**backend.seal(exchange), "content-length": "100"}
     await exchange.stream.send_all(raw_http.make_head(200, headers) + b"half")
@@ -213,20 +236,23 @@
 async def answer_unsealed(
     backend: Backend, exchange: raw_http.Exchange
 ) -> None:
-    """Send a success without the mark of a server's own answer."""
+    """Send a 200 without the headers that mark a server's own answer."""
     backend.begin(exchange).ended = "unsealed"
     await exchange.answer(200, {}, b"who knows")
 
 
 async def stay_silent(backend: Backend, exchange: raw_http.Exchange) -> None:
-    """Run and never answer; notes when the caller leaves."""
+    """Never answer; record whether the caller disconnects first."""
     run = backend.begin(exchange)
     data = await exchange.stream.receive_some(1)
     run.ended = "left" if not data else "more"
 
 
 def break_after(count: int, cut_within_event: bool = False) -> Behaviour:
-    """Stream ``count`` events and reset, perhaps amid the next one."""
+    """Stream ``count`` events, then reset the connection.
+
+    With ``cut_within_event`` a part of the next event is sent first.
+    """
 
     async def behave(backend: Backend, exchange: raw_http.Exchange) -> None:
         backend.begin(exchange).ended = "broken"
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -1,17 +1,28 @@
-"""Stand-in for a model engine; it records every run that it makes.
-
-It batches continuously: each token takes ``token_ms`` and slows down as the
-batch grows. Its answer is a function of the messages and the version, so a
-caller can tell whether an answer is whole and its own. A run makes tokens
-while it is read; one that nobody reads is kept for ``keep_ms``, to be read
-on from an offset, and is freed then or when it is cancelled.
-
-Faults: ``down``, ``silent``, ``crash_mark`` (a text at which the process
-exits), ``break_after`` (tokens after which a stream breaks, ``break_times``
-often if given), ``silent_after`` (tokens after which a connection falls
-silent, ``silent_times`` often), ``mute_posts`` (that many starts vanish
-unseen), ``forget`` (runs are not kept), ``confidence`` (by version),
-``token_ms``, ``late_ms`` (before the first token), ``leaving``.
+"""Stand-in for a model engine; it records every run.
+
+It models continuous batching: each token takes ``token_ms``, and longer in
+proportion once the batch exceeds ``FULL_SPEED_BATCH`` runs. The answer is a
+deterministic function of the messages and the version, so a test can check
+that an answer is complete and belongs to its request. A run generates
+tokens only while a connection reads it. Without a reader it can be resumed
+at an offset for ``keep_ms``; after that, or when cancelled, it is freed.
+
+Faults, set through ``/control``:
+
+- ``down``: runs are refused with 503.
+- ``silent``: runs are not answered.
+- ``crash_mark``: the process exits on a request that contains this text.
+- ``break_after``: streams end after this many tokens; only the next
+  ``break_times`` of them if that is set.
+- ``silent_after``: streams stop after this many tokens without closing;
+  only the next ``silent_times`` of them if that is set.
+- ``mute_posts``: this many requests to start a run are ignored, unanswered
+  and unrecorded.
+- ``forget``: runs cannot be resumed.
+- ``confidence``: the confidence to report, by version.
+- ``token_ms``: overrides the time per token.
+- ``late_ms``: delay before the first token.
+- ``leaving``: reports that the endpoint is leaving.
 """
 
 import hashlib
@@ -29,15 +40,15 @@
 from tests.standins import orders
 from tests.standins import serving
 
-BATCH = 16
-CRASH_EXIT = 70
-# A line of its output that begins so holds the runs of one that crashed.
+FULL_SPEED_BATCH = 16
+CRASH_EXIT_CODE = 70
+# Starts the output line in which a crashing engine leaves its run records.
 CRASHED_RUNS_PREFIX = "runs left: "
-KEEP_MS = 5_000
+RETENTION_MS = 5_000
 
 
 def make_answer(version: str, messages: list[dict], tokens: int) -> str:
-    """The one answer that a version gives to a conversation."""
+    """Return the deterministic answer of a version to a conversation."""
     seed = json.dumps([version, [m["content"] for m in messages]])
     digest = hashlib.sha256(seed.encode()).hexdigest()
     words = [f"{version}:{digest[:8]}"]
@@ -48,7 +59,10 @@
 
 
 class Run:
-    """One run; ``reader`` numbers the connection that reads it now."""
+    """One run; ``reader`` is the number of the connection reading it, or 0.
+
+    A message that ends in "tokens=N" asks for N tokens.
+    """
 
     def __init__(self, body: dict) -> None:
         self.version = body["version"]
@@ -60,8 +74,8 @@
         self.answer = make_answer(self.version, self.messages, count)
         self.words = self.answer.split(" ")
         self.reader = 0
-        self.made = 0
-        self.begun = time.monotonic()
+        self.tokens_made = 0
+        self.started_at = time.monotonic()
         self.left_at = time.monotonic()
         self.state = "running"
 
@@ -78,32 +92,32 @@
         self.faults: serving.Faults = {}
         self.orders = orders.Orders(self.versions, self.faults)
         self.runs: list[dict] = []
-        self.kept: dict[str, Run] = {}
+        self.runs_by_id: dict[str, Run] = {}
         self.running: set[Run] = set()
         self.readers = 0
 
     @property
-    def busy(self) -> int:
-        """How many runs hold a place in the batch."""
-        self.free_unread()
+    def active_runs(self) -> int:
+        """The number of runs in the batch."""
+        self.free_abandoned_runs()
         return len(self.running)
 
-    def free_unread(self) -> None:
-        """Free runs that nobody has read for a while."""
-        keep_s = self.faults.get("keep_ms", KEEP_MS) / 1000
+    def free_abandoned_runs(self) -> None:
+        """Free runs that had no reader for the retention period."""
+        keep_s = self.faults.get("keep_ms", RETENTION_MS) / 1000
         now = time.monotonic()
         for run in list(self.running):
             if run.reader == 0 and now - run.left_at > keep_s:
                 self.finish(run, "freed")
 
     def finish(self, run: Run, state: str) -> None:
-        """Free the place that a run holds."""
+        """Remove a run from the batch."""
         if run in self.running:
             self.running.remove(run)
             run.state = state
 
     def record_run(self, body: dict) -> None:
-        """Keep a run's note for the tests."""
+        """Record a run for the tests."""
         self.runs.append(
             {
                 "run_id": body["run_id"],
@@ -124,23 +138,23 @@
         if mark and mark in json.dumps(body["messages"]):
             self.record_run(body)
             print(CRASHED_RUNS_PREFIX + json.dumps(self.runs), flush=True)
-            os._exit(CRASH_EXIT)
+            os._exit(CRASH_EXIT_CODE)
         if self.faults.get("silent"):
             await serving.hang()
         run_id = body["run_id"]
         self.record_run(body)
-        self.kept[run_id] = run = Run(body)
+        self.runs_by_id[run_id] = run = Run(body)
         self.running.add(run)
         return responses.StreamingResponse(
             self.generate(run, 0), media_type="text/event-stream"
         )
 
     async def resume(self, request: requests.Request) -> responses.Response:
-        """Stream a kept run from an offset."""
+        """Resume the stream of a run at an offset."""
         if self.faults.get("silent"):
             await serving.hang()
-        self.free_unread()
-        run = self.kept.get(request.path_params["run_id"])
+        self.free_abandoned_runs()
+        run = self.runs_by_id.get(request.path_params["run_id"])
         if run is None or run.state == "freed" or self.faults.get("forget"):
             return responses.Response("", 404)
         offset = int(request.query_params.get("offset", "0"))
@@ -149,8 +163,8 @@
         )
 
     async def cancel(self, request: requests.Request) -> responses.Response:
-        """Free a run."""
-        run = self.kept.get(request.path_params["run_id"])
+        """Cancel a run."""
+        run = self.runs_by_id.get(request.path_params["run_id"])
         if run is not None:
             self.finish(run, "cancelled")
         return responses.JSONResponse({})
@@ -158,40 +172,45 @@
     async def generate(
         self, run: Run, offset: int
     ) -> typing.AsyncIterator[str]:
-        """Yield the answer's tokens and the closing report."""
+        """Yield the answer's tokens as events, and the end event.
+
+        A newer reader of the same run ends this one.
+        """
         self.readers += 1
         run.reader = reader = self.readers
         late_s = self.faults.get("late_ms", 0) / 1000
         try:
-            await trio.sleep(max(0, run.begun + late_s - time.monotonic()))
+            await trio.sleep(
+                max(0, run.started_at + late_s - time.monotonic())
+            )
             for index in range(offset, len(run.words)):
-                await self.make_token(index)
+                await self.wait_for_token(index)
                 if run.reader != reader or run.state == "cancelled":
                     return
-                if self.strikes("break", index):
+                if self.consume_fault("break", index):
                     return
-                if self.strikes("silent", index):
+                if self.consume_fault("silent", index):
                     await serving.hang()
-                run.made = max(run.made, index + 1)
+                run.tokens_made = max(run.tokens_made, index + 1)
                 word = run.words[index]
                 text = word if index == 0 else f" {word}"
-                piece = json.dumps({"offset": index, "text": text})
-                yield f"data: {piece}\n\n"
+                event = json.dumps({"offset": index, "text": text})
+                yield f"data: {event}\n\n"
         finally:
             if run.reader == reader:
                 run.reader = 0
                 run.left_at = time.monotonic()
         self.finish(run, "done")
-        yield f"data: {json.dumps(self.close(run))}\n\n"
+        yield f"data: {json.dumps(self.make_end_event(run))}\n\n"
 
-    async def make_token(self, index: int) -> None:
-        """Take the time of one token in a batch of this size."""
-        slowdown = max(1.0, self.busy / BATCH)
+    async def wait_for_token(self, index: int) -> None:
+        """Wait for as long as a token takes in a batch of this size."""
+        slowdown = max(1.0, self.active_runs / FULL_SPEED_BATCH)
         token_ms = self.faults.get("token_ms", self.token_ms)
         await trio.sleep(token_ms * slowdown / 1000)
 
-    def strikes(self, fault: str, index: int) -> bool:
-        """Whether a fault of streams bites at this token."""
+    def consume_fault(self, fault: str, index: int) -> bool:
+        """Whether a stream fault applies at this token; counts it down."""
         if self.faults.get(f"{fault}_after") != index:
             return False
         left = self.faults.get(f"{fault}_times")
@@ -199,8 +218,8 @@
             self.faults[f"{fault}_times"] = left - 1
         return left is None or left > 0
 
-    def close(self, run: Run) -> dict:
-        """The closing report of a run."""
+    def make_end_event(self, run: Run) -> dict:
+        """The event that ends a run's stream."""
         return {
             "end": True,
             "length": len(run.answer),
@@ -213,7 +232,7 @@
         }
 
     def rate(self, version: str, messages: list[dict]) -> float:
-        """The confidence an answer is reported with; hard tasks get less."""
+        """The reported confidence; lower for prompts that contain "hard"."""
         declared = self.faults.get("confidence", {})
         if version in declared:
             return float(declared[version])
@@ -221,37 +240,39 @@
 
     async def report(self, request: requests.Request) -> responses.Response:
         """Report versions and load."""
-        self.orders.settle()
+        self.orders.finish_due_load()
         return responses.JSONResponse(
             {
                 "versions": self.versions,
-                "load": self.busy,
+                "load": self.active_runs,
                 "leaving": bool(self.faults.get("leaving")),
             }
         )
 
     async def list_runs(self, request: requests.Request) -> responses.Response:
-        """Return every run, for the tests."""
+        """Return every recorded run, for the tests."""
         return responses.JSONResponse(self.runs)
 
-    async def list_kept(self, request: requests.Request) -> responses.Response:
+    async def list_run_states(
+        self, request: requests.Request
+    ) -> responses.Response:
         """Return the state of every run, for the tests."""
         return responses.JSONResponse(
             [
-                {"run_id": run_id, "state": run.state, "made": run.made}
-                for run_id, run in self.kept.items()
+                {"run_id": run_id, "state": run.state, "made": run.tokens_made}
+                for run_id, run in self.runs_by_id.items()
             ]
         )
 
 
 def main(port: int, name: str, versions: str, token_ms: float = 1.0) -> None:
-    """Serve one endpoint on a loopback port; versions by commas."""
+    """Serve one endpoint on loopback; ``versions`` is comma-separated."""
     engine = Engine(name, tuple(str(versions).split(",")), token_ms)
     routes = [
         routing.Route("/v1/runs", engine.run, methods=["POST"]),
         routing.Route("/v1/runs/{run_id}", engine.resume, methods=["GET"]),
         routing.Route("/v1/runs/{run_id}", engine.cancel, methods=["DELETE"]),
-        routing.Route("/kept", engine.list_kept),
+        routing.Route("/kept", engine.list_run_states),
         routing.Route("/report", engine.report),
         routing.Route("/runs", engine.list_runs),
         *engine.orders.make_routes(),
--- a/tests/standins/link.py
+++ b/tests/standins/link.py
@@ -1,15 +1,16 @@
-"""Relays TCP between processes, so that tests can cut them off.
+"""TCP relay between processes, with which tests inject network faults.
 
-Each link is a port of its own, named "FROM>TO". Modes:
+Each link listens on a port of its own and is named "FROM>TO". Modes:
 
-- ``open`` passes bytes on, ``delay_ms`` late.
-- ``held`` drops nothing and passes nothing, like a cut network: what was
-  sent meanwhile arrives late, when the link opens again.
-- ``stale`` silences the connections that exist for good; new ones work.
-- ``reset`` closes connections and refuses new ones.
+- ``open`` forwards bytes, each after ``delay_ms``.
+- ``held`` forwards nothing and drops nothing, like a network partition: the
+  bytes sent meanwhile are delivered when the link is opened again.
+- ``stale`` stops the existing connections for good without closing them;
+  new connections work.
+- ``reset`` closes the connections and refuses new ones.
 
 The control port takes one JSON line, ``{"links": [...], "mode": ...,
-"delay_ms": ...}``, and answers it with a line.
+"delay_ms": ...}``, and answers with one line.
 """
 
 import contextlib
@@ -26,15 +27,15 @@
 
 @attrs.define(eq=False)
 class Connection:
-    """One relayed connection; a stale one never passes a byte again."""
+    """A relayed connection; a stale one never forwards a byte again."""
 
-    scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
+    cancel_scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
     stale: bool = False
 
 
 @attrs.define(eq=False)
 class Link:
-    """One direction in which connections are made."""
+    """The connections from one process to another, and their mode."""
 
     target: int
     mode: str = "open"
@@ -42,31 +43,31 @@
     changed: trio.Event = attrs.field(factory=trio.Event)
     connections: set[Connection] = attrs.field(factory=set)
 
-    def switch(self, mode: str, delay_ms: float) -> None:
-        """Enter a mode and wake everything that waits for one."""
+    def set_mode(self, mode: str, delay_ms: float) -> None:
+        """Set the mode and wake all tasks that wait for a change."""
         self.delay_ms = delay_ms
         for connection in self.connections:
             if mode == "stale":
                 connection.stale = True
             if mode == "reset":
-                connection.scope.cancel()
+                connection.cancel_scope.cancel()
         self.mode = "open" if mode == "stale" else mode
         self.changed.set()
         self.changed = trio.Event()
 
     async def wait_until_passing(self, connection: Connection) -> None:
-        """Return when the connection may pass bytes."""
+        """Wait until the connection may forward bytes."""
         while connection.stale or self.mode == "held":
             await self.changed.wait()
 
 
-async def pump(
+async def forward(
     link: Link,
     connection: Connection,
     source: trio.SocketStream,
     sink: trio.SocketStream,
 ) -> None:
-    """Pass bytes one way; the end of the stream too."""
+    """Forward bytes in one direction, and then the end of the stream."""
     while True:
         data = await source.receive_some(CHUNK)
         await link.wait_until_passing(connection)
@@ -79,22 +80,22 @@
 
 
 async def relay(link: Link, inbound: trio.SocketStream) -> None:
-    """Relay one connection until both ends have finished."""
+    """Relay one connection until both directions have ended."""
     connection = Connection()
     link.connections.add(connection)
     outbound = None
     try:
-        with connection.scope, contextlib.suppress(OSError):
+        with connection.cancel_scope, contextlib.suppress(OSError):
             if link.mode == "reset":
                 return
             await link.wait_until_passing(connection)
             outbound = await trio.open_tcp_stream("127.0.0.1", link.target)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(
-                    shield_pump, link, connection, inbound, outbound
+                    forward_until_failure, link, connection, inbound, outbound
                 )
                 nursery.start_soon(
-                    shield_pump, link, connection, outbound, inbound
+                    forward_until_failure, link, connection, outbound, inbound
                 )
     finally:
         link.connections.discard(connection)
@@ -103,33 +104,33 @@
                 await trio.aclose_forcefully(stream)
 
 
-async def shield_pump(
+async def forward_until_failure(
     link: Link,
     connection: Connection,
     source: trio.SocketStream,
     sink: trio.SocketStream,
 ) -> None:
-    """Pump until an end fails, then end the whole connection."""
+    """Forward in one direction; end the connection if either end fails."""
     try:
-        await pump(link, connection, source, sink)
+        await forward(link, connection, source, sink)
     except (trio.BrokenResourceError, trio.ClosedResourceError):
-        connection.scope.cancel()
+        connection.cancel_scope.cancel()
 
 
 async def control(links: dict[str, Link], stream: trio.SocketStream) -> None:
-    """Carry out one control line."""
+    """Execute one command line from the control port."""
     line = b""
     while not line.endswith(b"\n"):
         line += await stream.receive_some(CHUNK)
-    order: dict[str, typing.Any] = json.loads(line)
-    for name in order["links"]:
-        links[name].switch(order["mode"], order.get("delay_ms", 0.0))
+    command: dict[str, typing.Any] = json.loads(line)
+    for name in command["links"]:
+        links[name].set_mode(command["mode"], command.get("delay_ms", 0.0))
     await stream.send_all(b"done\n")
     await stream.aclose()
 
 
 async def serve(port: int, ports: dict[str, list[int]]) -> None:
-    """Serve the control port and every link."""
+    """Serve the control port and all links."""
     links = {name: Link(target) for name, (_, target) in ports.items()}
     async with trio.open_nursery() as nursery:
         for name, (listen, _) in ports.items():
@@ -145,7 +146,12 @@
 
 
 def main(port: int, file: str) -> None:
-    """Relay the links of a JSON file: name to [listening, target] port."""
+    """Relay the links of a JSON file.
+
+    Args:
+        port: the control port.
+        file: maps each link's name to its [listening, target] ports.
+    """
     with open(file) as opened, contextlib.suppress(KeyboardInterrupt):
         trio.run(serve, port, json.load(opened))
 
--- a/tests/standins/log.py
+++ b/tests/standins/log.py
@@ -1,10 +1,17 @@
 """Stand-in for the platform's append-only log.
 
-Faults: ``down`` (503), ``silent`` (no answer), ``lose_answers`` (that many
-appends take effect and their answers are lost), ``slow_ms``, ``cut`` (names
-of callers that get no answer), ``retain`` (records kept per stream).
-``lose_in`` narrows ``lose_answers`` to one stream. ``/all/STREAM`` shows a
-test every record ever appended, those that readers can no longer get too.
+Faults, set through ``/control``:
+
+- ``down``: every call is answered with 503.
+- ``silent``: no call is answered.
+- ``cut``: names of callers whose calls are not answered.
+- ``lose_answers``: this many appends take effect but are not answered;
+  ``lose_in`` restricts this to one stream.
+- ``slow_ms``: delay of every call.
+- ``retain``: the number of records that each stream keeps for readers.
+
+``/all/STREAM`` returns every record ever appended, including those that
+readers can no longer get.
 """
 
 import collections
@@ -20,39 +27,39 @@
 
 from tests.standins import serving
 
-APPENDS_A_SECOND = 500
+APPENDS_PER_S = 500
 
 
 class Stream:
-    """One stream's records; offsets begin at 1."""
+    """The records of one stream; offsets start at 1."""
 
     def __init__(self) -> None:
         self.records: collections.deque[dict] = collections.deque()
-        self.ever: list[dict] = []
+        self.all_records: list[dict] = []
         self.end = 1
-        self.grown = trio.Event()
+        self.appended = trio.Event()
 
     @property
     def oldest(self) -> int:
-        """Offset of the oldest record kept, or the next one to come."""
+        """Offset of the oldest retained record, or else of the next one."""
         return self.records[0]["offset"] if self.records else self.end
 
     def append(self, records: list) -> int:
-        """Add records and wake the readers."""
+        """Append records, wake waiting readers, return the first offset."""
         first = self.end
         for data in records:
             at_ms = time.time_ns() // 1_000_000
             record = {"offset": self.end, "at_ms": at_ms, "data": data}
             self.records.append(record)
-            self.ever.append(
+            self.all_records.append(
                 {**record, "seen_ms": time.monotonic_ns() // 1_000_000}
             )
             self.end += 1
-        self.grown.set()
-        self.grown = trio.Event()
+        self.appended.set()
+        self.appended = trio.Event()
         return first
 
-    def forget(self, kept: int | None) -> None:
+    def trim(self, kept: int | None) -> None:
         """Drop all but the newest ``kept`` records."""
         while kept is not None and len(self.records) > kept:
             self.records.popleft()
@@ -64,31 +71,31 @@
 
 
 class Log:
-    """All streams, the rate limit and the faults."""
+    """All streams, the append rate limit and the faults."""
 
     def __init__(self) -> None:
         self.streams: dict[str, Stream] = {}
         self.faults: serving.Faults = {"appends": 0}
-        self.allowance = float(APPENDS_A_SECOND)
+        self.permits = float(APPENDS_PER_S)
         self.refilled = time.monotonic()
 
     def stream(self, request: requests.Request) -> Stream:
-        """The stream a request names."""
+        """The stream that a request names; created on first use."""
         return self.streams.setdefault(request.path_params["stream"], Stream())
 
-    def take_allowance(self) -> bool:
-        """Whether one more append fits into this second."""
+    def acquire_permit(self) -> bool:
+        """Take a permit from the token bucket; False if it is empty."""
         now = time.monotonic()
-        grown = (now - self.refilled) * APPENDS_A_SECOND
-        self.allowance = min(self.allowance + grown, APPENDS_A_SECOND)
+        refill = (now - self.refilled) * APPENDS_PER_S
+        self.permits = min(self.permits + refill, APPENDS_PER_S)
         self.refilled = now
-        if self.allowance < 1:
+        if self.permits < 1:
             return False
-        self.allowance -= 1
+        self.permits -= 1
         return True
 
-    async def suffer(self, request: requests.Request) -> bool:
-        """Apply the faults that hold for any call; True if it is down."""
+    async def apply_faults(self, request: requests.Request) -> bool:
+        """Apply the faults that affect every call; True if down."""
         if self.faults.get("silent"):
             await serving.hang()
         caller = request.headers.get("X-Caller", "")
@@ -98,28 +105,30 @@
         return bool(self.faults.get("down"))
 
     async def append(self, request: requests.Request) -> responses.Response:
-        """Append a group of records; one call counts as one append."""
-        if await self.suffer(request):
+        """Append a batch of records; it counts as one append."""
+        if await self.apply_faults(request):
             return responses.Response("", 503, {"Retry-After": "1"})
-        if not self.take_allowance():
+        if not self.acquire_permit():
             return responses.Response("", 429, {"Retry-After": "1"})
         records = json.loads(await request.body())["records"]
         stream = self.stream(request)
         first = stream.append(records)
-        stream.forget(self.faults.get("retain"))
+        stream.trim(self.faults.get("retain"))
         self.faults["appends"] += 1
-        lossy = self.faults.get("lose_in") or request.path_params["stream"]
+        lossy_stream = (
+            self.faults.get("lose_in") or request.path_params["stream"]
+        )
         if (
             self.faults.get("lose_answers", 0) > 0
-            and lossy == request.path_params["stream"]
+            and lossy_stream == request.path_params["stream"]
         ):
             self.faults["lose_answers"] -= 1
             await serving.hang()
         return responses.JSONResponse({"first": first})
 
     async def read(self, request: requests.Request) -> responses.Response:
-        """Read from an offset, waiting for records if asked to."""
-        if await self.suffer(request):
+        """Read from an offset, waiting up to ``wait_ms`` for a record."""
+        if await self.apply_faults(request):
             return responses.Response("", 503, {"Retry-After": "1"})
         stream = self.stream(request)
         offset = int(request.query_params["from"])
@@ -127,8 +136,8 @@
         wait_ms = int(request.query_params.get("wait_ms", "0"))
         with trio.move_on_after(wait_ms / 1000):
             while stream.end <= offset:
-                await stream.grown.wait()
-        if await self.suffer(request):
+                await stream.appended.wait()
+        if await self.apply_faults(request):
             return responses.Response("", 503, {"Retry-After": "1"})
         records = stream.read(offset, limit)
         following = records[-1]["offset"] + 1 if records else offset
@@ -141,8 +150,8 @@
         )
 
     async def show_all(self, request: requests.Request) -> responses.Response:
-        """Return every record of a stream, for the tests."""
-        return responses.JSONResponse(self.stream(request).ever)
+        """Return every record ever appended, for the tests."""
+        return responses.JSONResponse(self.stream(request).all_records)
 
 
 def main(port: int) -> None:
--- a/tests/standins/orders.py
+++ b/tests/standins/orders.py
@@ -1,10 +1,12 @@
-"""The part of an engine's stand-in that takes orders.
+"""The part of the engine stand-in that accepts orders for versions.
 
-While an engine changes what it has loaded it serves nothing. Faults:
-``ignore_fencing`` (an old number is taken too), ``lose_order_answers``
-(that many orders take effect and their answers are lost), ``load_ms``
-(a load's time when no weight store is set), ``weights`` (the store's
-address).
+An engine serves no version while it loads another set. Faults, set through
+the engine's ``/control``:
+
+- ``ignore_fencing``: orders with a stale fencing number are accepted too.
+- ``lose_order_answers``: this many orders take effect but are not answered.
+- ``weights``: the address of the weight store to load from.
+- ``load_ms``: the duration of a load if there is no weight store.
 """
 
 import json
@@ -19,12 +21,12 @@
 
 
 class Orders:
-    """What an engine was ordered to have; changes ``versions`` in place."""
+    """The order in force at an engine; updates ``versions`` in place."""
 
     def __init__(self, versions: list[str], faults: serving.Faults) -> None:
         self.versions = versions
         self.faults = faults
-        self.wanted: dict = {
+        self.current: dict = {
             "fencing": 0,
             "versions": sorted(versions),
             "role": "mixed",
@@ -33,39 +35,39 @@
         self.history: list[dict] = []
 
     def make_routes(self) -> list[routing.Route]:
-        """Routes of an engine."""
+        """The engine's routes for orders."""
         return [
             routing.Route("/order", self.show, methods=["GET"]),
-            routing.Route("/order", self.take, methods=["PUT"]),
-            routing.Route("/orders", self.list_taken),
+            routing.Route("/order", self.accept, methods=["PUT"]),
+            routing.Route("/orders", self.list_accepted),
         ]
 
-    def settle(self) -> None:
-        """Show what is loaded by now."""
+    def finish_due_load(self) -> None:
+        """Make the ordered versions available once their load is due."""
         if self.ready_at and time.monotonic() >= self.ready_at:
-            self.versions[:] = self.wanted["versions"]
+            self.versions[:] = self.current["versions"]
             self.ready_at = 0.0
 
     async def show(self, request: requests.Request) -> responses.Response:
-        """The order that is held."""
-        self.settle()
-        return responses.JSONResponse(self.wanted)
+        """Return the order in force."""
+        self.finish_due_load()
+        return responses.JSONResponse(self.current)
 
-    async def take(self, request: requests.Request) -> responses.Response:
-        """Take an order, or refuse one with an old number."""
-        self.settle()
+    async def accept(self, request: requests.Request) -> responses.Response:
+        """Accept an order, or refuse one with a stale fencing number."""
+        self.finish_due_load()
         order = json.loads(await request.body())
-        old = order["fencing"] < self.wanted["fencing"]
+        old = order["fencing"] < self.current["fencing"]
         if old and not self.faults.get("ignore_fencing"):
-            return responses.JSONResponse(self.wanted, 409)
+            return responses.JSONResponse(self.current, 409)
         load_ms = 0.0
         if set(order["versions"]) != set(self.versions):
-            load_ms = await self.begin_load()
+            load_ms = await self.start_load()
             if load_ms < 0:
                 return responses.Response("", 503)
             self.versions[:] = []
             self.ready_at = time.monotonic() + load_ms / 1000
-        self.wanted = order
+        self.current = order
         began = time.time()
         self.history.append(
             {**order, "began": began, "ended": began + load_ms / 1000}
@@ -73,10 +75,10 @@
         if self.faults.get("lose_order_answers", 0) > 0:
             self.faults["lose_order_answers"] -= 1
             await serving.hang()
-        return responses.JSONResponse(self.wanted)
+        return responses.JSONResponse(self.current)
 
-    async def begin_load(self) -> float:
-        """Ask the weight store for a load; its time, or -1 if refused."""
+    async def start_load(self) -> float:
+        """Start a load; return its duration in ms, or -1 if refused."""
         store = self.faults.get("weights")
         if not store:
             return self.faults.get("load_ms", 300)
@@ -86,8 +88,8 @@
             return -1
         return json.loads(reply.content)["load_ms"]
 
-    async def list_taken(
+    async def list_accepted(
         self, request: requests.Request
     ) -> responses.Response:
-        """Return every order taken, for the tests."""
+        """Return every accepted order, for the tests."""
         return responses.JSONResponse(self.history)
--- a/tests/standins/ratings.py
+++ b/tests/standins/ratings.py
@@ -1,11 +1,16 @@
 """Stand-in for the platform's service that rates answers.
 
-An answer's rating is a function of its id, its version and its text, so
-two runs agree. Faults: ``down``, ``silent``, ``slow_ms``, ``delay_ms``
-(after which a rating can be collected), ``good`` (share of good answers by
-version), ``good_for`` (the same by "version customer"), ``lose`` (share of
-answers that are never rated), ``harsh`` (share of good answers called bad,
-whatever the version).
+An answer's rating depends only on its id, version, customer and the faults
+below, so that two runs agree. Faults, set through ``/control``:
+
+- ``down``: every call is answered with 503.
+- ``silent``: no call is answered.
+- ``slow_ms``: delay of every call.
+- ``delay_ms``: time after which a rating can be collected.
+- ``good``: share of good answers, by version.
+- ``good_for``: share of good answers, by "version customer".
+- ``lose``: share of answers that are never rated.
+- ``harsh``: share of good answers that are rated bad, for all versions.
 """
 
 import hashlib
@@ -23,60 +28,64 @@
 DEFAULT_GOOD = 0.97
 
 
-def draw(answer_id: str, purpose: str) -> float:
-    """A number between 0 and 1 that depends on the names alone."""
+def hash_to_share(answer_id: str, purpose: str) -> float:
+    """Map the arguments to a fixed number between 0 and 1."""
     digest = hashlib.sha256(f"{purpose} {answer_id}".encode()).digest()
     return int.from_bytes(digest[:7]) / 2.0**56
 
 
 class Ratings:
-    """All mailboxes, with the time at which each rating can be seen."""
+    """All mailboxes; each rating is stored with the time it is due."""
 
     def __init__(self) -> None:
         self.faults: serving.Faults = {"delay_ms": 0}
-        self.seen: set[str] = set()
-        self.boxes: dict[str, list[tuple[float, dict]]] = {}
+        self.seen_ids: set[str] = set()
+        self.mailboxes: dict[str, list[tuple[float, dict]]] = {}
 
-    async def suffer(self) -> bool:
-        """Apply the faults that hold for any call; True if it is down."""
+    async def apply_faults(self) -> bool:
+        """Apply the faults that affect every call; True if down."""
         if self.faults.get("silent"):
             await serving.hang()
         await trio.sleep(self.faults.get("slow_ms", 0) / 1000)
         return bool(self.faults.get("down"))
 
-    async def take(self, request: requests.Request) -> responses.Response:
-        """Take answers to be rated."""
-        if await self.suffer():
+    async def submit(self, request: requests.Request) -> responses.Response:
+        """Accept answers for rating; an id already known is ignored."""
+        if await self.apply_faults():
             return responses.Response("", 503)
         body = json.loads(await request.body())
-        box = self.boxes.setdefault(body["mailbox"], [])
+        entries = self.mailboxes.setdefault(body["mailbox"], [])
         for answer in body["answers"]:
-            if answer["id"] in self.seen:
+            if answer["id"] in self.seen_ids:
                 continue
-            self.seen.add(answer["id"])
-            if draw(answer["id"], "lose") >= self.faults.get("lose", 0.0):
+            self.seen_ids.add(answer["id"])
+            if hash_to_share(answer["id"], "lose") >= self.faults.get(
+                "lose", 0.0
+            ):
                 due = time.monotonic() + self.faults["delay_ms"] / 1000
                 rating = {"id": answer["id"], "good": self.rate(answer)}
-                box.append((due, rating))
+                entries.append((due, rating))
         return responses.JSONResponse({})
 
     def rate(self, answer: dict) -> bool:
-        """Whether an answer is good."""
+        """Whether an answer is rated good."""
         version = answer["version"]
         share = self.faults.get("good", {}).get(version, DEFAULT_GOOD)
-        for_one = f"{version} {answer['customer']}"
-        share = self.faults.get("good_for", {}).get(for_one, share)
+        version_and_customer = f"{version} {answer['customer']}"
+        share = self.faults.get("good_for", {}).get(
+            version_and_customer, share
+        )
         share *= 1 - self.faults.get("harsh", 0.0)
-        return draw(answer["id"], "good") < share
+        return hash_to_share(answer["id"], "good") < share
 
-    async def give(self, request: requests.Request) -> responses.Response:
-        """Give the ratings of a mailbox that are due, in order."""
-        if await self.suffer():
+    async def collect(self, request: requests.Request) -> responses.Response:
+        """Return the due ratings of a mailbox from an offset, in order."""
+        if await self.apply_faults():
             return responses.Response("", 503)
         offset = int(request.query_params["from"])
-        box = self.boxes.get(request.query_params["mailbox"], [])
+        entries = self.mailboxes.get(request.query_params["mailbox"], [])
         due = []
-        for at, rating in box[offset - 1 :]:
+        for at, rating in entries[offset - 1 :]:
             if at > time.monotonic():
                 break
             due.append(rating)
@@ -86,11 +95,11 @@
 
 
 def main(port: int) -> None:
-    """Serve the ratings on a loopback port."""
+    """Serve the rating service on a loopback port."""
     ratings = Ratings()
     routes = [
-        routing.Route("/answers", ratings.take, methods=["POST"]),
-        routing.Route("/ratings", ratings.give),
+        routing.Route("/answers", ratings.submit, methods=["POST"]),
+        routing.Route("/ratings", ratings.collect),
     ]
     serving.serve(routes, ratings.faults, port)
 
--- a/tests/standins/raw_http.py
+++ b/tests/standins/raw_http.py
@@ -1,4 +1,7 @@
-"""HTTP/1.1 by hand, for stand-ins that have to misbehave on the wire."""
+"""A minimal HTTP/1.1 server for stand-ins that violate the protocol.
+
+Responses are written byte by byte, which lets a test send malformed ones.
+"""
 
 import functools
 import typing
@@ -12,7 +15,7 @@
 
 @attrs.frozen(kw_only=True)
 class Request:
-    """One request as it came in; header names are in lower case."""
+    """A received request; header names are in lower case."""
 
     method: str
     target: str
@@ -22,7 +25,10 @@
 
 @attrs.define(eq=False)
 class Exchange:
-    """A request on its connection, to be answered in any way."""
+    """A request with its connection, on which any bytes can be sent.
+
+    ``fixed_headers`` are added to every complete answer.
+    """
 
     request: Request
     stream: trio.SocketStream
@@ -35,7 +41,7 @@
         headers: dict[str, str] | None = None,
         body: bytes = b"",
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         await self.stream.send_all(
             make_head(
                 status,
@@ -54,12 +60,12 @@
             make_head(200, {**headers, "transfer-encoding": "chunked"})
         )
 
-    async def send_chunk(self, piece: bytes) -> None:
-        """Send a piece of a chunked answer; an empty one ends it."""
-        await self.stream.send_all(b"%x\r\n%s\r\n" % (len(piece), piece))
+    async def send_chunk(self, data: bytes) -> None:
+        """Send a chunk of a chunked answer; an empty one ends the body."""
+        await self.stream.send_all(b"%x\r\n%s\r\n" % (len(data), data))
 
     async def reset(self) -> None:
-        """End the connection without a goodbye."""
+        """Close the connection with a TCP reset."""
         linger = b"\x01\x00\x00\x00\x00\x00\x00\x00"
         sock = self.stream.socket
         sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, linger)
@@ -70,7 +76,7 @@
 
 
 def make_head(status: int, headers: dict[str, str]) -> bytes:
-    """Status line and headers."""
+    """Encode the status line and the headers."""
     lines = [
         f"HTTP/1.1 {status} X",
         *(f"{n}: {v}" for n, v in headers.items()),
@@ -81,7 +87,7 @@
 async def read_request(
     parser: h11.Connection, stream: trio.SocketStream
 ) -> Request | None:
-    """The next request of a connection, None at its end."""
+    """Read the next request of a connection; None at its end."""
     head: h11.Request | None = None
     body = b""
     while True:
@@ -107,11 +113,11 @@
 async def serve_connection(
     handler: Handler, stream: trio.SocketStream
 ) -> None:
-    """Answer the requests of one connection, one after the other."""
+    """Handle the requests of one connection in sequence."""
     try:
         while True:
-            # A new parser for each request: answers are written by hand, so
-            # that h11 does not know that they were sent.
+            # Each request needs a new parser: h11 does not see the answers,
+            # which are written to the stream directly.
             parser = h11.Connection(h11.SERVER)
             request = await read_request(parser, stream)
             if request is None:
@@ -131,7 +137,7 @@
     *,
     task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve on loopback; reports the port that it listens on."""
+    """Serve on loopback; report the port through ``task_status``."""
     listeners = await trio.open_tcp_listeners(port, host="127.0.0.1")
     task_status.started(listeners[0].socket.getsockname()[1])
     await trio.serve_listeners(
--- a/tests/standins/service.py
+++ b/tests/standins/service.py
@@ -1,8 +1,13 @@
-"""Stand-in for a plain service; it records every run that it makes.
+"""Stand-in for a plain service; it records every run.
 
-Faults: ``down``, ``silent_before`` and ``silent_after`` (no answer, without
-or after the run), ``slow_ms``, ``late_ms`` (between the run and its
-answer), ``leaving``.
+Faults, set through ``/control``:
+
+- ``down``: calls are refused with 503.
+- ``silent_before``: calls are neither run nor answered.
+- ``silent_after``: calls are run but not answered.
+- ``slow_ms``: the duration of a run.
+- ``late_ms``: delay between the run and its answer.
+- ``leaving``: reports that the endpoint is leaving.
 """
 
 import json
@@ -24,20 +29,20 @@
         self.name = name
         self.faults: serving.Faults = {}
         self.runs: list[dict] = []
-        self.busy = 0
+        self.active_runs = 0
 
     async def run(self, request: requests.Request) -> responses.Response:
-        """Run an operation once for each call."""
+        """Run an operation and record it."""
         body = json.loads(await request.body())
         if self.faults.get("down"):
             return responses.Response("", 503)
         if self.faults.get("silent_before"):
             await serving.hang()
-        self.busy += 1
+        self.active_runs += 1
         try:
             await trio.sleep(self.faults.get("slow_ms", 2) / 1000)
         finally:
-            self.busy -= 1
+            self.active_runs -= 1
         operation = request.path_params["operation"]
         self.runs.append(
             {
@@ -59,17 +64,17 @@
         )
 
     async def report(self, request: requests.Request) -> responses.Response:
-        """Report the load."""
+        """Report the load and whether the endpoint is leaving."""
         return responses.JSONResponse(
             {
                 "versions": [],
-                "load": self.busy,
+                "load": self.active_runs,
                 "leaving": bool(self.faults.get("leaving")),
             }
         )
 
     async def list_runs(self, request: requests.Request) -> responses.Response:
-        """Return every run, for the tests."""
+        """Return every recorded run, for the tests."""
         return responses.JSONResponse(self.runs)
 
 
--- a/tests/standins/serving.py
+++ b/tests/standins/serving.py
@@ -1,7 +1,8 @@
-"""What every stand-in shares: serving, and faults switched on from outside.
+"""Serves a stand-in over HTTP, with faults that tests can switch on.
 
-``POST /control`` takes a JSON object of fault names and values; ``GET``
-returns them. A stand-in reads its own faults at the point where they bite.
+``POST /control`` merges a JSON object of fault names and values into the
+current faults; ``GET /control`` returns them. Each stand-in reads its
+faults where they take effect.
 """
 
 import contextlib
@@ -21,7 +22,7 @@
 
 
 def make_control_routes(faults: Faults) -> list[routing.Route]:
-    """Routes through which tests switch faults on and off."""
+    """Make the route with which tests read and set faults."""
 
     async def control(request: requests.Request) -> responses.Response:
         if request.method == "POST":
@@ -32,12 +33,12 @@
 
 
 async def hang() -> typing.NoReturn:
-    """Never answer, as a peer whose packets are dropped."""
+    """Never answer, like a host whose packets are dropped."""
     await trio.sleep_forever()
 
 
 def serve(routes: list[routing.Route], faults: Faults, port: int) -> None:
-    """Serve on loopback until a signal comes."""
+    """Serve on loopback until SIGTERM or SIGINT."""
     app = applications.Starlette(
         routes=[*routes, *make_control_routes(faults)]
     )
--- a/tests/standins/vms.py
+++ b/tests/standins/vms.py
@@ -1,8 +1,10 @@
-"""Stand-in for the platform's lagging list of VMs.
+"""Stand-in for the platform's eventually consistent list of VMs.
 
-``PUT /vms`` sets the list; readers see it ``lag_ms`` later. A reader at
-``/for/VIEWER/vms`` gets the addresses that ``seen_by`` gives it, since each
-reaches the others over links of its own. Faults: ``down``, ``lag_ms``.
+``PUT /vms`` sets the list; readers see it ``lag_ms`` later. A reader of
+``/for/VIEWER/vms`` gets the addresses that ``seen_by`` maps for it, since
+each viewer reaches the others through relay links of its own.
+
+Faults, set through ``/control``: ``down`` (503) and ``lag_ms``.
 """
 
 import json
@@ -17,7 +19,7 @@
 
 
 class VmList:
-    """The list, old and new."""
+    """All versions of the list, with the times at which they were set."""
 
     def __init__(self) -> None:
         self.faults: serving.Faults = {"lag_ms": 0}
@@ -25,21 +27,21 @@
         self.seen_by: dict[str, dict[str, str]] = {}
 
     async def put(self, request: requests.Request) -> responses.Response:
-        """Replace the list."""
+        """Set a new version of the list."""
         body = json.loads(await request.body())
         self.versions.append((time.monotonic(), body["vms"]))
         self.seen_by.update(body.get("seen_by", {}))
         return responses.JSONResponse({})
 
     async def get(self, request: requests.Request) -> responses.Response:
-        """Show the list as it stood a while ago."""
+        """Return the list as of ``lag_ms`` ago."""
         if self.faults.get("down"):
             return responses.Response("", 503)
         seen_at = time.monotonic() - self.faults["lag_ms"] / 1000
         vms = [vms for at, vms in self.versions if at <= seen_at][-1]
-        seen = self.seen_by.get(request.path_params.get("viewer", ""), {})
+        addresses = self.seen_by.get(request.path_params.get("viewer", ""), {})
         vms = [
-            {**vm, "address": seen.get(vm["name"], vm["address"])}
+            {**vm, "address": addresses.get(vm["name"], vm["address"])}
             for vm in vms
         ]
         return responses.JSONResponse({"vms": vms})
