--- a/tests/common/deployment.py
+++ b/tests/common/deployment.py
@@ -1,4 +1,4 @@
-"""A user's whole deployment as processes on loopback."""
+"""Runs a complete deployment as processes on loopback, with stand-ins."""
 
 import json
 import os
@@ -29,7 +29,10 @@
 
 @attrs.frozen(kw_only=True)
 class Pool:
-    """A pool of like endpoints, spread over the failure domains."""
+    """A pool of identical endpoints, spread over the failure domains.
+
+    With ``versions`` they are model engines, otherwise plain services.
+    """
 
     name: str
     count: int
@@ -39,7 +42,12 @@
 
 @attrs.frozen(kw_only=True)
 class Plan:
-    """What a deployment consists of."""
+    """The configuration of a deployment.
+
+    ``declaration`` is the file to publish. ``without_rollouts`` publishes
+    it without its roll-outs and pools. ``settings`` are added to those of
+    every entry VM.
+    """
 
     name: str
     failure_domains: tuple[str, ...]
@@ -83,14 +91,14 @@
 
 @attrs.define
 class Response:
-    """An HTTP answer."""
+    """An HTTP response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
     content: bytes
 
     def json(self) -> typing.Any:
-        """The decoded body."""
+        """Decode the body as JSON."""
         return json.loads(self.content)
 
 
@@ -102,29 +110,29 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 30.0,
 ) -> Response:
-    """Make one HTTP call over a connection of its own."""
+    """Send one HTTP request over a new connection."""
     timeouts: dict[str, float] = {
         name: timeout_s for name in ("connect", "read", "write", "pool")
     }
-    sent = {"Content-Type": "application/json", **(headers or {})}
+    request_headers = {"Content-Type": "application/json", **(headers or {})}
     with httpcore.ConnectionPool() as pool:
         response = pool.request(
             method,
             f"http://{address}{path}",
-            headers=list(sent.items()),
+            headers=list(request_headers.items()),
             content=None if body is None else json.dumps(body).encode(),
             extensions={"timeout": timeouts},
         )
-    got = {
+    response_headers = {
         name.decode().lower(): value.decode("latin-1")
         for name, value in response.headers
     }
-    return Response(response.status, got, response.content)
+    return Response(response.status, response_headers, response.content)
 
 
 @attrs.define
 class EntryProcess:
-    """One entry VM of a deployment and how to reach it."""
+    """An entry VM of a deployment, with its addresses and its process."""
 
     name: str
     failure_domain: str
@@ -136,7 +144,12 @@
 
 @attrs.define
 class Deployment:
-    """The processes of one deployment; use it as a context manager."""
+    """The processes of one deployment, as a context manager.
+
+    Leaving the context kills all of them. ``addresses`` is by stand-in,
+    ``pools`` lists the endpoints of each pool, and ``folder`` holds the
+    settings and outputs of the processes.
+    """
 
     plan: Plan
     folder: pathlib.Path = attrs.field(
@@ -149,7 +162,7 @@
 
     @property
     def environment(self) -> dict[str, str]:
-        """Environment of every process."""
+        """The environment of all processes."""
         return {**os.environ, "PYTHONPATH": "src:."}
 
     def __enter__(self) -> typing.Self:
@@ -164,7 +177,7 @@
         self.kill_all()
 
     def start(self) -> None:
-        """Start stand-ins, publish the declaration, start entry VMs."""
+        """Start the stand-ins, publish the declaration, start entry VMs."""
         self.start_platform()
         self.start_endpoints()
         self.send_vm_list()
@@ -174,10 +187,10 @@
         self.start_entry_vms()
 
     def drop_rollouts_and_pools(self) -> None:
-        """Use the declaration without its roll-outs and pools.
+        """Publish the declaration without its roll-outs and pools.
 
-        A test about something else must not meet a canary by chance, nor
-        an engine that is just being ordered to load a version.
+        Tests of other parts must not be affected by a request that happens
+        to go to a canary, or by an engine that is loading a version.
         """
         text = pathlib.Path(self.plan.declaration).read_text()
         document = yaml.safe_load(text)
@@ -188,44 +201,44 @@
         self.plan = attrs.evolve(self.plan, declaration=str(path))
 
     def start_platform(self) -> None:
-        """Start the platform's stand-ins."""
+        """Start the stand-ins for the platform's services."""
         for name in PLATFORM:
             self.start_standin(name, f"tests.standins.{name}")
         for name in PLATFORM:
             loopback.wait_until_listening(self.addresses[name])
 
     def start_endpoints(self) -> None:
-        """Start all pools' endpoints."""
+        """Start the endpoints of all pools."""
         for pool in self.plan.pools:
             for number in range(pool.count):
                 name = f"{pool.name}-{number}"
                 self.pools.setdefault(pool.name, []).append(name)
-                words = ["--name", name]
+                arguments = ["--name", name]
                 kind = "service"
                 if pool.versions:
                     kind = "engine"
-                    words += ["--versions", ",".join(pool.versions)]
-                    words += ["--token_ms", str(pool.token_ms)]
-                self.start_standin(name, f"tests.standins.{kind}", *words)
+                    arguments += ["--versions", ",".join(pool.versions)]
+                    arguments += ["--token_ms", str(pool.token_ms)]
+                self.start_standin(name, f"tests.standins.{kind}", *arguments)
         for names in self.pools.values():
             for name in names:
                 loopback.wait_until_listening(self.addresses[name])
 
-    def start_standin(self, name: str, module: str, *words: str) -> None:
-        """Start one stand-in, on its old port if it had one."""
+    def start_standin(self, name: str, module: str, *arguments: str) -> None:
+        """Start a stand-in; if it ran before, on the same port."""
         if name not in self.addresses:
             (port,) = loopback.find_free_ports(1)
             self.addresses[name] = f"127.0.0.1:{port}"
         port_text = self.addresses[name].rpartition(":")[2]
         self.processes[name] = self.spawn(
-            name, "-m", module, "--port", port_text, *words
+            name, "-m", module, "--port", port_text, *arguments
         )
 
-    def spawn(self, name: str, *words: str) -> subprocess.Popen:
-        """Start a Python process that writes to a file of its own."""
+    def spawn(self, name: str, *arguments: str) -> subprocess.Popen:
+        """Start a Python process whose output goes to ``NAME.out``."""
         with open(self.folder / f"{name}.out", "ab") as output:
             return subprocess.Popen(
-                [sys.executable, *words],
+                [sys.executable, *arguments],
                 stdout=output,
                 stderr=output,
                 stdin=subprocess.DEVNULL,
@@ -233,7 +246,7 @@
             )
 
     def send_vm_list(self) -> None:
-        """Tell the VM list's stand-in which endpoints there are."""
+        """Send the list of endpoints to the stand-in for the VM list."""
         domains = self.plan.failure_domains
         vms = [
             {
@@ -249,7 +262,10 @@
         call("PUT", self.addresses["vms"], "/vms", {"vms": vms})
 
     def publish(self, file: str) -> str:
-        """Publish a declaration with the operators' tool."""
+        """Publish a declaration with the operators' tool; return its output.
+
+        A refused publish raises CalledProcessError.
+        """
         done = subprocess.run(
             [
                 *(sys.executable, "-m", "carawayward.command"),
@@ -264,7 +280,7 @@
         return done.stdout.strip()
 
     def allocate_entry_vms(self, spare_count: int = 0) -> None:
-        """Give every entry VM a name, a failure domain and addresses."""
+        """Assign a name, a failure domain and addresses to each entry VM."""
         domains = self.plan.failure_domains
         count = self.plan.entry_vms + spare_count
         ports = loopback.find_free_ports(3 * count)
@@ -301,7 +317,7 @@
         self.processes[vm.name] = vm.process
 
     def make_settings(self, vm: EntryProcess) -> dict:
-        """One entry VM's settings."""
+        """Make the settings of one entry VM."""
         return {
             "name": vm.name,
             "failure_domain": vm.failure_domain,
@@ -320,7 +336,7 @@
         }
 
     def wait_until_ready(self, vm: EntryProcess) -> None:
-        """Wait for readiness and for all endpoints to be known."""
+        """Wait until an entry VM reports ready; raise with its output."""
         deadline = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline:
             try:
@@ -335,15 +351,15 @@
         raise TimeoutError(f"{vm.name} did not become ready:\n{output}")
 
     def fetch_runs(self, name: str) -> list[dict]:
-        """Every run that an endpoint has made."""
+        """Fetch the runs that an endpoint has recorded."""
         return call("GET", self.addresses[name], "/runs").json()
 
     def set_faults(self, name: str, **faults: object) -> None:
-        """Switch faults of a stand-in on or off."""
+        """Set faults of a stand-in through its ``/control`` route."""
         call("POST", self.addresses[name], "/control", faults)
 
     def stop_entry_vms(self) -> dict[str, int]:
-        """Ask every entry VM to stop; return the exit codes."""
+        """Stop all entry VMs with SIGTERM; return their exit codes."""
         for vm in self.entry_vms:
             assert vm.process is not None
             vm.process.send_signal(signal.SIGTERM)
@@ -354,7 +370,7 @@
         }
 
     def kill_all(self) -> None:
-        """End every process of this deployment, by its id."""
+        """Kill all processes of this deployment and wait for them."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
--- a/tests/common/linked.py
+++ b/tests/common/linked.py
@@ -1,4 +1,8 @@
-"""A small deployment whose every connection runs over links to cut."""
+"""A small deployment whose connections run through a fault-injecting relay.
+
+The relay, tests/standins/link.py, gives each pair of processes a link that
+tests can delay, hold or reset.
+"""
 
 import itertools
 import json
@@ -18,7 +22,7 @@
 
 VERSIONS = ("cheap-1", "cheap-2", "strong-1")
 DAEMON = "carawayward.daemon"
-# Followed by the names of guards, it stands for the daemon without them.
+# Runs the daemon without the guards that are named as its argument.
 UNGUARDED = "tests.common.unguarded"
 
 SETTINGS = {
@@ -40,7 +44,11 @@
 
 
 def make_document(**states: str) -> dict:
-    """The declaration in use; ``states`` sets versions' states by name."""
+    """Make the declaration; ``states`` sets the states of versions.
+
+    Its keywords are names of versions with "_" for "-", for instance
+    ``cheap_1="withdrawn"``; other versions are active.
+    """
 
     def make_version(name: str, cost: float) -> dict:
         state = states.get(name.replace("-", "_"), "active")
@@ -80,8 +88,11 @@
 
 
 @attrs.frozen
-class Published:
-    """What an operator's tool answered."""
+class PublishResult:
+    """The result of a publish with the operators' tool.
+
+    ``revision`` is 0 if it was refused; ``text`` is the tool's output.
+    """
 
     accepted: bool
     revision: int
@@ -92,9 +103,11 @@
 
 @attrs.define
 class LinkedDeployment(deployment.Deployment):
-    """A deployment with a relay between its parts, and its faults.
+    """A deployment with a relay between entry VMs and everything else.
 
-    ``spare_count`` entry VMs have addresses and links and are started later.
+    ``spare_count`` more entry VMs get addresses and links but are not
+    started; they are in ``waiting``. ``daemon`` is the module that entry
+    VMs run, with its arguments.
     """
 
     plan: deployment.Plan = SMALL
@@ -102,10 +115,12 @@
     daemon: str = DAEMON
     links: dict[str, list[int]] = attrs.field(factory=dict)
     waiting: list[deployment.EntryProcess] = attrs.field(factory=list)
-    _drafts: typing.Iterator[int] = attrs.field(factory=itertools.count)
+    _document_numbers: typing.Iterator[int] = attrs.field(
+        factory=itertools.count
+    )
 
     def start(self) -> None:
-        """Start everything, with links between entry VMs and the rest."""
+        """Start all processes, the relay before the entry VMs."""
         self.start_platform()
         self.start_endpoints()
         published = self.publish_document(make_document(), 0)
@@ -122,7 +137,7 @@
             self.wait_until_ready(vm)
 
     def start_relay(self) -> None:
-        """Make a link from each entry VM to all that it talks to."""
+        """Start the relay: a link from each entry VM to all its targets."""
         vms = self.entry_vms
         targets = {
             f"{one.name}>{other.name}": other.peers
@@ -145,7 +160,7 @@
         loopback.wait_until_listening(self.addresses["link"])
 
     def send_vm_list(self, leaving: typing.Collection[str] = ()) -> None:
-        """List endpoints, each under the address of the viewer's link."""
+        """Send the list of endpoints, with each viewer's link addresses."""
         domains = self.plan.failure_domains
         vms = [
             {
@@ -167,7 +182,7 @@
         deployment.call("PUT", self.addresses["vms"], "/vms", body)
 
     def make_settings(self, vm: deployment.EntryProcess) -> dict:
-        """Settings whose addresses are those of this VM's links."""
+        """Make settings whose addresses are those of this VM's links."""
         settings = super().make_settings(vm)
         ports = {
             name.partition(">")[2]: port
@@ -178,8 +193,8 @@
             "log": f"http://127.0.0.1:{ports['log']}",
             "vms": f"http://127.0.0.1:{ports['vms']}/for/{vm.name}",
         }
-        # An entry VM also dials peers that it has only heard of; it must
-        # not get round the links by doing so.
+        # An entry VM also dials peers that it has learned of through other
+        # peers. Without these routes it would bypass the relay.
         settings["peer_routes"] = {
             peer.peers: f"127.0.0.1:{ports[peer.name]}"
             for peer in self.entry_vms
@@ -189,7 +204,7 @@
         return settings
 
     def start_entry_vm(self, vm: deployment.EntryProcess) -> None:
-        """Start one entry VM's daemon, or the module that stands for it."""
+        """Start one entry VM with the module in ``daemon``."""
         path = self.folder / f"{vm.name}.yaml"
         path.write_text(yaml.safe_dump(self.make_settings(vm)))
         vm.process = self.spawn(
@@ -197,22 +212,22 @@
         )
         self.processes[vm.name] = vm.process
 
-    def publish_document(self, document: dict, base: int) -> Published:
-        """Publish through the operators' tool; a refusal is no exception."""
-        file = self.folder / f"document-{next(self._drafts)}.yaml"
+    def publish_document(self, document: dict, base: int) -> PublishResult:
+        """Publish with the operators' tool; a refusal does not raise."""
+        file = self.folder / f"document-{next(self._document_numbers)}.yaml"
         file.write_text(yaml.safe_dump(document))
-        words = ["publish", str(file), "--base", str(base)]
-        words += ["--log", f"http://{self.addresses['log']}"]
+        arguments = ["publish", str(file), "--base", str(base)]
+        arguments += ["--log", f"http://{self.addresses['log']}"]
         began_ms = time.monotonic() * 1000
         done = subprocess.run(
-            [sys.executable, "-m", "carawayward.command", *words],
+            [sys.executable, "-m", "carawayward.command", *arguments],
             capture_output=True,
             text=True,
             env=self.environment,
         )
         accepted = done.returncode == 0
         digits = [w for w in done.stdout.split() if w.isdecimal()]
-        return Published(
+        return PublishResult(
             accepted,
             int(digits[0]) if accepted and digits else 0,
             done.stdout + done.stderr,
@@ -223,15 +238,15 @@
     def switch_links(
         self, names: list[str], mode: str, delay_ms: float = 0.0
     ) -> None:
-        """Set the mode of links, by name."""
-        order = {"links": names, "mode": mode, "delay_ms": delay_ms}
+        """Set the mode of the named links; see tests/standins/link.py."""
+        command = {"links": names, "mode": mode, "delay_ms": delay_ms}
         host, _, port = self.addresses["link"].rpartition(":")
         with socket.create_connection((host, int(port)), 5) as stream:
-            stream.sendall(json.dumps(order).encode() + b"\n")
+            stream.sendall(json.dumps(command).encode() + b"\n")
             assert stream.recv(16)
 
     def get_failure_domain(self, name: str) -> str:
-        """Failure domain of a VM; the platform is in none of them."""
+        """The failure domain of a VM, or "platform" for anything else."""
         for vm in [*self.entry_vms, *self.waiting]:
             if vm.name == name:
                 return vm.failure_domain
@@ -242,7 +257,10 @@
         return "platform"
 
     def find_links(self, one: str, other: str) -> list[str]:
-        """Links between two failure domains, either way."""
+        """Find the links between two failure domains, in both directions.
+
+        "platform" counts as a domain.
+        """
         found = []
         for link in self.links:
             ends = {self.get_failure_domain(name) for name in link.split(">")}
@@ -251,7 +269,10 @@
         return found
 
     def cut(self, *domains: str, mode: str = "held") -> list[str]:
-        """Cut domains off from all others and from the platform."""
+        """Partition domains from all others and from the platform.
+
+        Returns the links that were set to ``mode``.
+        """
         others = {*self.plan.failure_domains, "platform"} - set(domains)
         links = [
             link
@@ -263,34 +284,34 @@
         return links
 
     def heal(self) -> None:
-        """Open every link."""
+        """Open all links."""
         self.switch_links(list(self.links), "open")
 
     def kill(self, vm: deployment.EntryProcess) -> None:
-        """End an entry VM at once."""
+        """Kill an entry VM with SIGKILL."""
         assert vm.process is not None
         vm.process.kill()
         vm.process.wait()
 
     def suspend(self, vm: deployment.EntryProcess) -> None:
-        """Stop an entry VM where it stands; it notices nothing."""
+        """Suspend an entry VM with SIGSTOP, which it cannot observe."""
         assert vm.process is not None
         vm.process.send_signal(signal.SIGSTOP)
 
     def resume(self, vm: deployment.EntryProcess) -> None:
-        """Let a frozen entry VM go on."""
+        """Resume a suspended entry VM."""
         assert vm.process is not None
         vm.process.send_signal(signal.SIGCONT)
 
     def restart(self, vm: deployment.EntryProcess) -> None:
-        """Start an entry VM anew: same addresses, new incarnation."""
+        """Restart an entry VM: same addresses, new incarnation."""
         if vm.process is not None and vm.process.poll() is None:
             self.kill(vm)
         self.start_entry_vm(vm)
         self.wait_until_ready(vm)
 
     def replace(self, vm: deployment.EntryProcess) -> deployment.EntryProcess:
-        """Start a spare, then ask ``vm`` to stop; return the spare."""
+        """Start a spare entry VM, then stop ``vm``; return the spare."""
         spare = self.waiting.pop(0)
         self.entry_vms.append(spare)
         self.start_entry_vm(spare)
@@ -302,6 +323,6 @@
         return spare
 
     def fetch_all_records(self, stream: str) -> list[dict]:
-        """Every record ever appended, forgotten ones too."""
+        """Fetch every record ever appended, including trimmed ones."""
         log = self.addresses["log"]
         return deployment.call("GET", log, f"/all/{stream}").json()
--- a/tests/cover/__init__.py
+++ b/tests/cover/__init__.py
@@ -1,1 +1,1 @@
-"""Fast tests of single parts."""
+"""Fast tests of single components."""
--- a/tests/demo.py
+++ b/tests/demo.py
@@ -1,4 +1,7 @@
-"""``./build.sh demo``: both users' deployments, their requests, a table."""
+"""``./build.sh demo``: runs two example deployments and checks the results.
+
+Each gets a mix of requests; a table shows their status, cost and latency.
+"""
 
 import collections
 import concurrent.futures
@@ -16,12 +19,12 @@
 from tests.standins import engine
 
 WORKERS = 16
-BILLS_APPENDED_S = 2.0
+BILLS_DELAY_S = 2.0
 
 
 @attrs.frozen(kw_only=True)
 class Job:
-    """One request to send, and through which entry VM."""
+    """A request to send and the entry VM to send it through."""
 
     label: str
     customer: str
@@ -35,7 +38,7 @@
 
 @attrs.frozen(kw_only=True)
 class Result:
-    """What became of a request."""
+    """The result of a request; ``error`` says what is wrong with it."""
 
     label: str
     customer: str
@@ -44,12 +47,12 @@
     plan: str
     cost: float
     latency_ms: float
-    wrong: str = ""
+    error: str = ""
 
 
-# Each user's mix: label, kind, task or operation, streamed, share of hard
-# requests, weight in the mix.
-MIXES: dict[str, list[tuple[str, str, str, bool, float, int]]] = {
+# By deployment: label, kind, task or operation, whether it is streamed, share
+# of hard requests, relative frequency.
+WORKLOADS: dict[str, list[tuple[str, str, str, bool, float, int]]] = {
     "oduya": [
         ("swap suggestion", "task", "swap-suggestion", False, 0.2, 6),
         ("hard match", "task", "hard-match", True, 1.0, 1),
@@ -69,16 +72,16 @@
 def make_jobs(
     running: deployment.Deployment, count: int, seed: int
 ) -> list[Job]:
-    """A realistic mix of one user's requests, through all entry VMs."""
+    """Draw a deployment's requests, spread over all entry VMs."""
     draw = random.Random(seed)
     document = yaml.safe_load(open(running.plan.declaration))
     customers = [c["name"] for c in document["customers"]]
     weights = [c["weight"] for c in document["customers"]]
-    mix = MIXES[running.plan.name]
+    workload = WORKLOADS[running.plan.name]
     jobs = []
     for number in range(count):
         label, kind, target, stream, hard, _ = draw.choices(
-            mix, [row[-1] for row in mix]
+            workload, [row[-1] for row in workload]
         )[0]
         difficulty = "hard" if draw.random() < hard else "easy"
         jobs.append(
@@ -128,24 +131,24 @@
     if reply.status != 200:
         return make_result(job, reply)
     text, model, extra = (read_stream if job.stream else read_whole)(reply)
-    wrong = ""
+    error = ""
     if text != engine.make_answer(model, messages, 24):
-        wrong = "not the answer to this request"
+        error = "not the answer to this request"
     elif versions and model not in versions.values():
-        wrong = "not a version of the session"
+        error = "not a version of the session"
     plan = " > ".join(extra["plan"])
-    return make_result(job, reply, plan, extra["cost"], wrong)
+    return make_result(job, reply, plan, extra["cost"], error)
 
 
 def read_whole(reply: deployment.Response) -> tuple[str, str, dict]:
-    """Text, model and extras of an answer that came whole."""
+    """Parse text, model and extension fields of a complete answer."""
     body = reply.json()
     text = body["choices"][0]["message"]["content"]
     return text, body["model"], body["carawayward"]
 
 
 def read_stream(reply: deployment.Response) -> tuple[str, str, dict]:
-    """Text, model and extras of a streamed answer."""
+    """Parse text, model and extension fields of a streamed answer."""
     events = [
         json.loads(line[6:])
         for line in reply.content.decode().splitlines()
@@ -163,7 +166,7 @@
 
 
 def send_service_call(job: Job, auth: dict[str, str]) -> Result:
-    """Call a plain service, with a ticket if it may not be repeated."""
+    """Call a plain service, with a ticket if it must not be repeated."""
     headers = dict(auth)
     if job.kind == "once":
         ticket = deployment.call(
@@ -185,9 +188,9 @@
     reply: deployment.Response,
     plan: str = "",
     cost: float = 0.0,
-    wrong: str = "",
+    error: str = "",
 ) -> Result:
-    """Note what became of a job."""
+    """Make the result of a job."""
     return Result(
         label=job.label,
         customer=job.customer,
@@ -196,14 +199,14 @@
         plan=plan,
         cost=cost,
         latency_ms=0.0,
-        wrong=wrong,
+        error=error,
     )
 
 
 def read_stream_records(
     running: deployment.Deployment, stream: str
 ) -> list[dict]:
-    """All records of a stream of the log."""
+    """Read all records of a stream of the log."""
     records: list[dict] = []
     offset = 1
     while True:
@@ -215,18 +218,18 @@
         offset = batch["next"]
 
 
-def find_faults(
+def find_errors(
     running: deployment.Deployment, jobs: list[Job], results: list[Result]
 ) -> list[str]:
-    """Everything about answers, bills and run counts that is wrong."""
-    faults = [f"{r.label}: {r.wrong}" for r in results if r.wrong]
+    """Check answers, the number of bills and the number of runs."""
+    errors = [f"{r.label}: {r.error}" for r in results if r.error]
     answered = [r for r in results if r.status == 200]
     bills = {
         (record["customer"], record["request_key"])
         for record in read_stream_records(running, "billing")
     }
     if len(bills) != len(answered):
-        faults.append(f"{len(answered)} answers but {len(bills)} bills")
+        errors.append(f"{len(answered)} answers but {len(bills)} bills")
     runs: collections.Counter[str] = collections.Counter()
     for pool in running.plan.pools:
         if not pool.versions:
@@ -237,14 +240,14 @@
     for job, result in zip(jobs, results, strict=True):
         expected = 1 if result.status == 200 else 0
         if job.kind == "once" and runs[job.text] != expected:
-            faults.append(
+            errors.append(
                 f"{job.text}: status {result.status}, {runs[job.text]} runs"
             )
-    return faults
+    return errors
 
 
 def print_table(name: str, results: list[Result]) -> None:
-    """Print what happened, by kind of request and plan."""
+    """Print results by kind of request, status and plan."""
     groups: dict[tuple[str, str, int], list[Result]] = {}
     for result in results:
         key = (result.label, result.plan, result.status)
@@ -268,31 +271,31 @@
 
 
 def run_user(plan: deployment.Plan, count: int, keep: bool) -> list[str]:
-    """Run one user's deployment and return what was wrong."""
+    """Run one deployment and return the errors that were found."""
     with deployment.Deployment(plan) as running:
         jobs = make_jobs(running, count, seed=len(plan.name))
         with concurrent.futures.ThreadPoolExecutor(WORKERS) as pool:
             results = list(pool.map(send_job, jobs))
         print_table(plan.name, results)
-        faults: list[str] = []
+        errors: list[str] = []
         if keep:
-            # Checked before the user's own calls add bills and runs.
-            time.sleep(BILLS_APPENDED_S)
-            faults = find_faults(running, jobs, results)
+            # Check before calls of the demo's user add bills and runs.
+            time.sleep(BILLS_DELAY_S)
+            errors = find_errors(running, jobs, results)
             wait_for_interrupt(running)
-        exits = running.stop_entry_vms()
+        exit_codes = running.stop_entry_vms()
         if not keep:
-            faults = find_faults(running, jobs, results)
-        faults += [f"{n} exited with {c}" for n, c in exits.items() if c]
-        faults += [
+            errors = find_errors(running, jobs, results)
+        errors += [f"{n} exited with {c}" for n, c in exit_codes.items() if c]
+        errors += [
             f"{r.label}: status {r.status}" for r in results if r.status != 200
         ]
-        return faults
+        return errors
 
 
 def wait_for_interrupt(running: deployment.Deployment) -> None:
-    """Leave the deployment up until the user ends it."""
-    print(f"\n{running.plan.name} is up; end it with Ctrl-C. Entry VMs:")
+    """Keep the deployment running until Ctrl-C."""
+    print(f"\n{running.plan.name} is running; Ctrl-C stops it. Entry VMs:")
     for vm in running.entry_vms:
         print(f"  {vm.name}: callers {vm.callers}, operators {vm.operators}")
     try:
@@ -306,19 +309,19 @@
     """Run the demo.
 
     Args:
-        count: requests for each user.
-        keep: leave the first deployment up until Ctrl-C.
-        user: "oduya" or "wayfarer"; both by default.
+        count: requests for each deployment.
+        keep: keep each deployment running until Ctrl-C.
+        user: the deployment to run, "oduya" or "wayfarer"; default both.
     """
     plans: list[typing.Any] = [deployment.ODUYA, deployment.WAYFARER]
-    faults = []
+    errors = []
     for plan in plans:
         if user in ("", plan.name):
-            faults += run_user(plan, count, keep)
-    for fault in faults:
-        print("WRONG:", fault)
-    print("\nall right" if not faults else f"\n{len(faults)} faults")
-    sys.exit(bool(faults))
+            errors += run_user(plan, count, keep)
+    for fault in errors:
+        print("error:", fault)
+    print("\nno errors" if not errors else f"\n{len(errors)} errors")
+    sys.exit(bool(errors))
 
 
 if __name__ == "__main__":
--- a/tests/failures/__init__.py
+++ b/tests/failures/__init__.py
@@ -1,1 +1,1 @@
-"""Tests that bring about failures in running processes."""
+"""Tests that inject failures into running processes."""
--- a/tests/failures/test_proofs.py
+++ b/tests/failures/test_proofs.py
@@ -233,7 +233,7 @@
         time.sleep(3.0)
         told = recorder.publish(linked.make_document(cheap_1="withdrawn"), 1)
         assert told.accepted
-        seen = recorder.history.seen
+        seen = recorder.history.observed_revisions
         wait_until(
             lambda: (
                 {s.vm for s in seen if s.revision == told.revision}
@@ -339,8 +339,8 @@
         for vm in list(running.entry_vms):
             asked_ms = recorder_module.now_ms()
             running.replace(vm)
-            recorder.history.stopped.append(
-                events.Stopped(
+            recorder.history.stops.append(
+                events.EntryVmStop(
                     vm=vm.name,
                     asked_ms=asked_ms,
                     ended_ms=recorder_module.now_ms(),
@@ -352,7 +352,9 @@
         again = log_swap(running.entry_vms[0], key, "swap")
         assert count_runs(running, "swap") == 1
         assert again is not None and not again.json().get("not_run")
-        last = max(recorder.history.seen, key=lambda seen: seen.at_ms)
+        last = max(
+            recorder.history.observed_revisions, key=lambda seen: seen.at_ms
+        )
         assert last.revision == told.revision
         recorder.history.calls.append(make_known("swap"))
         wait_until(lambda: checkers.check_bills(recorder.collect()) == [])
--- a/tests/history/__init__.py
+++ b/tests/history/__init__.py
@@ -1,1 +1,1 @@
-"""History checks of concurrent runs."""
+"""Checks of the histories that concurrent callers record under faults."""
--- a/tests/history/checkers.py
+++ b/tests/history/checkers.py
@@ -1,7 +1,7 @@
-"""What must always hold: a pure check of a history for each property.
+"""One checker for each property that must hold in every history.
 
-Each returns the violations that it found, as sentences. The windows are
-what the product promises to its users, and no tighter.
+A checker is a pure function that returns the violations as sentences. The
+time windows are those that the product promises to its users, not tighter.
 """
 
 import collections
@@ -13,23 +13,23 @@
 from carawayward.protocol import config_log
 from tests.history import events
 
-# "Within seconds": from the operator's "accepted" until no entry VM that can
-# hear the log or a peer serves the older revision any more.
+# "Within seconds": the time from the "accepted" that the operator receives
+# until every entry VM that can reach the log or a peer serves the revision.
 IN_FORCE_WINDOW_MS = 8_000
-# An entry VM that comes back from an outage first has to notice it: a silent
-# link in 2 s, a silent long poll in some 9 s.
+# After an outage an entry VM must first detect its dead connections: a silent
+# peer link after 2 s, a silent long poll after about 9 s.
 RECOVERY_WINDOW_MS = 10_000
-# "A few seconds" for an endpoint that leaves: a probe or a list read a
-# second, a report that may take two, and a list that lags by one.
+# "A few seconds" for a leaving endpoint: probes and reads of the VM list are
+# 1 s apart, a report may take 2 s, and the list lags by 1 s.
 LEAVING_WINDOW_MS = 5_000
 
 Checker = typing.Callable[[events.History], list[str]]
 
 
-def fold_configuration(
+def list_configurations(
     history: events.History,
 ) -> list[tuple[int, float, dict]]:
-    """(revision, time, document) of every configuration that took effect."""
+    """List (revision, time, document) of each configuration in force."""
     state = config_log.start_reading(1)
     in_force: list[tuple[int, float, dict]] = []
     for item in history.stream("configuration"):
@@ -43,16 +43,19 @@
     return in_force
 
 
-def find_calls(history: events.History) -> dict[str, list[events.Call]]:
-    """Calls by request key."""
+def group_calls(history: events.History) -> dict[str, list[events.Call]]:
+    """Group the calls by request key."""
     calls: dict[str, list[events.Call]] = collections.defaultdict(list)
     for call in history.calls:
         calls[call.key].append(call)
     return calls
 
 
-def find_holder(history: events.History, call: events.Call) -> str:
-    """The entry VM that alone may run a call, as far as it was decided."""
+def find_responsible_vm(history: events.History, call: events.Call) -> str:
+    """Find the only entry VM that may run a call; "" if none was decided.
+
+    It is the ticket's issuer, or the one whose claim of the key came first.
+    """
     if call.ticket:
         return call.issuer
     for record in history.stream("claims"):
@@ -62,8 +65,10 @@
     return ""
 
 
-def is_excused(history: events.History, vm: str, at_ms: float) -> bool:
-    """Whether an entry VM was, or just had been, out of all hearing."""
+def is_affected_by_outage(
+    history: events.History, vm: str, at_ms: float
+) -> bool:
+    """Whether an entry VM is in an outage or still recovering from one."""
     return any(
         vm in outage.vms
         and outage.from_ms <= at_ms <= outage.to_ms + RECOVERY_WINDOW_MS
@@ -71,21 +76,24 @@
     )
 
 
-def documents_for(
+def list_permitted_documents(
     history: events.History, calls: list[events.Call], at_ms: float
 ) -> list[dict]:
-    """Documents by which one of the calls' entry VMs may act at a time.
+    """List the documents that the calls' entry VMs may act on at a time.
 
-    Those in force now or replaced less than a window ago; an entry VM that
-    hears nothing may act by what was in force when its outage began.
+    These are the one in force and those replaced within the last window.
+    During an outage and the recovery from it, an entry VM may also act on
+    what was in force when the outage began.
     """
     oldest = at_ms - IN_FORCE_WINDOW_MS
     for outage in history.outages:
         for call in calls:
-            if call.vm in outage.vms and is_excused(history, call.vm, at_ms):
+            if call.vm in outage.vms and is_affected_by_outage(
+                history, call.vm, at_ms
+            ):
                 began = outage.from_ms - IN_FORCE_WINDOW_MS
                 oldest = min(oldest, began)
-    folded = fold_configuration(history)
+    folded = list_configurations(history)
     ends = [when for _, when, _ in folded[1:]] + [float("inf")]
     return [
         document
@@ -95,21 +103,21 @@
 
 
 def check_allowed(history: events.History) -> list[str]:
-    """A request runs only on versions that its customer allows."""
-    calls = find_calls(history)
-    wrong = []
+    """A request runs only on versions that its customer may use."""
+    calls = group_calls(history)
+    violations = []
     for run in history.runs:
         mine = calls.get(run.key, [])
         if not mine:
-            wrong.append(f"a run of {run.key!r}, which nobody sent")
+            violations.append(f"a run of {run.key!r}, which nobody sent")
         if not mine or not run.version:
             continue
-        documents = documents_for(history, mine, run.at_ms)
+        documents = list_permitted_documents(history, mine, run.at_ms)
         if not any(_allows(d, mine[0].customer, run) for d in documents):
-            wrong.append(
+            violations.append(
                 f"{run.key} of {mine[0].customer} ran on {run.version}"
             )
-    return wrong
+    return violations
 
 
 def _allows(document: dict, customer: str, run: events.Run) -> bool:
@@ -129,12 +137,14 @@
 
 def check_withdrawn(history: events.History) -> list[str]:
     """A withdrawn version receives no new work."""
-    calls = find_calls(history)
-    wrong = []
+    calls = group_calls(history)
+    violations = []
     for run in history.runs:
         if not run.version:
             continue
-        documents = documents_for(history, calls.get(run.key, []), run.at_ms)
+        documents = list_permitted_documents(
+            history, calls.get(run.key, []), run.at_ms
+        )
         states = {
             version["state"]
             for document in documents
@@ -143,15 +153,15 @@
             if version["name"] == run.version
         }
         if not states - {"withdrawn"}:
-            wrong.append(
+            violations.append(
                 f"{run.key} ran on {run.version}, withdrawn, at "
                 f"{run.at_ms:.0f}"
             )
-    return wrong
+    return violations
 
 
 def check_sessions(history: events.History) -> list[str]:
-    """A session keeps the versions that it was opened with."""
+    """A session is served by the versions that it was opened with."""
     return [
         f"{call.key}: session pinned to {sorted(call.pins.values())} "
         f"answered by {call.version}"
@@ -163,81 +173,85 @@
 
 
 def check_bills(history: events.History) -> list[str]:
-    """Each answer has one bill, of its own cost; nothing else has one."""
+    """Each answer has exactly one bill with its cost; no other bills exist.
+
+    A request that ran without an answered call may have one bill too.
+    """
     found = (billing.decode(r.data) for r in history.stream("billing"))
     ledger = billing.fold_bills(bill for bill in found if bill is not None)
-    calls = find_calls(history)
+    calls = group_calls(history)
     names = {(c.customer, c.key): c.key for c in history.calls}
     names |= {(c.customer, c.ticket): c.key for c in history.calls if c.ticket}
     bills: dict[str, list[billing.Bill]] = collections.defaultdict(list)
-    wrong = []
+    violations = []
     for pair, bill in ledger.items():
         if pair in names:
             bills[names[pair]].append(bill)
         else:
-            wrong.append(f"a bill for {pair}, which nobody sent")
+            violations.append(f"a bill for {pair}, which nobody sent")
     ran = {run.key for run in history.runs}
     for key, mine in calls.items():
         answered = [c for c in mine if c.kind is events.Kind.ANSWERED]
         count = len(bills[key])
         if answered and count != 1:
-            wrong.append(f"{key} was answered and has {count} bills")
+            violations.append(f"{key} was answered and has {count} bills")
         if count > 1 or (count and key not in ran):
-            wrong.append(f"{key} has {count} bills, ran: {key in ran}")
-        wrong += [
+            violations.append(f"{key} has {count} bills, ran: {key in ran}")
+        violations += [
             f"{key} was told {call.cost} and billed {bills[key][0].cost}"
             for call in answered
             if count and call.cost not in (None, bills[key][0].cost)
         ]
-    return wrong
+    return violations
 
 
 def check_answers(history: events.History) -> list[str]:
-    """A caller gets the whole answer to its own request."""
-    wrong = []
+    """A caller gets the complete answer to its own request."""
+    violations = []
     for call in history.calls:
         if call.kind is not events.Kind.ANSWERED:
             continue
-        if not call.whole:
-            wrong.append(f"{call.key}: the end marker does not fit")
+        if not call.complete:
+            violations.append(f"{call.key}: the end marker does not fit")
         elif call.expected.get(call.version) != call.text:
-            wrong.append(f"{call.key}: not the answer of {call.version}")
-    return wrong
+            violations.append(f"{call.key}: not the answer of {call.version}")
+    return violations
 
 
 def check_refusals(history: events.History) -> list[str]:
-    """A refusal that says "not run" is true.
+    """A request that was refused as "not run" did not run.
 
-    For a request that may not be repeated it speaks of the key: a run may
-    stem from another call only if that one overlapped the refused call or
-    came after it, and was not itself refused. For any other request it
-    speaks of the call, and an earlier one under the key may have run.
+    For a request that must not be repeated, the refusal applies to the key:
+    a run must stem from another call that was not itself refused as "not
+    run" and that overlapped the refused call or came after it. For other
+    requests the refusal applies to the call, so that an earlier call with
+    the same key may have run.
     """
     runs: dict[str, list[events.Run]] = collections.defaultdict(list)
     for run in history.runs:
         runs[run.key].append(run)
-    wrong = []
+    violations = []
     for call in history.calls:
         if call.kind is not events.Kind.NOT_RUN:
             continue
         others = [
             other
-            for other in find_calls(history)[call.key]
+            for other in group_calls(history)[call.key]
             if other is not call
             and other.kind is not events.Kind.NOT_RUN
             and (not call.once or other.ended_ms > call.began_ms)
         ]
         for run in runs[call.key]:
             if not any(other.began_ms <= run.at_ms for other in others):
-                wrong.append(
+                violations.append(
                     f'{call.key}: "not run" at {call.ended_ms:.0f}, run at '
                     f"{run.endpoint} at {run.at_ms:.0f}"
                 )
-    return wrong
+    return violations
 
 
 def check_once(history: events.History) -> list[str]:
-    """A request that may not be repeated runs at most once."""
+    """A request that must not be repeated runs at most once."""
     once = {call.key for call in history.calls if call.once}
     counts = collections.Counter(
         run.key for run in history.runs if run.key in once
@@ -246,7 +260,7 @@
 
 
 def check_leaving(history: events.History) -> list[str]:
-    """A leaving endpoint receives no new work after a few seconds."""
+    """A leaving endpoint starts no run after ``LEAVING_WINDOW_MS``."""
     return [
         f"{run.key} ran at {run.endpoint}, "
         f"{run.at_ms - left.at_ms:.0f} ms after it began to leave"
@@ -258,41 +272,44 @@
 
 
 def check_stops(history: events.History) -> list[str]:
-    """A planned stop cuts off no request.
+    """A planned stop exits with code 0 and interrupts no request.
 
-    Calls that a crash or an outage overlaps may have been cut off by that.
+    Calls that overlap a crash or an outage are excused, since that may be
+    what interrupted them.
     """
     cut = (
         events.Kind.NO_ANSWER,
         events.Kind.INTERRUPTED,
         events.Kind.UNKNOWN,
     )
-    wrong = [
+    violations = [
         f"{stop.vm} stopped with code {stop.exit_code}"
-        for stop in history.stopped
+        for stop in history.stops
         if stop.exit_code != 0
     ]
-    for stop in history.stopped:
-        wrong += [
+    for stop in history.stops:
+        violations += [
             f"{call.key} ({call.target}, sent to {call.vm}, held by "
-            f"{find_holder(history, call)}, {call.began_ms:.0f} to "
+            f"{find_responsible_vm(history, call)}, {call.began_ms:.0f} to "
             f"{call.ended_ms:.0f}) was cut off by the stop of {stop.vm} at "
             f"{stop.asked_ms:.0f}: {call.kind.value}, {call.reason}"
             for call in history.calls
-            if stop.vm in (call.vm, find_holder(history, call))
+            if stop.vm in (call.vm, find_responsible_vm(history, call))
             and call.kind in cut
-            and not _is_turned_away(stop, call)
+            and not _is_refused_by_leaving_vm(stop, call)
             and not _is_disturbed(history, call)
             and call.began_ms <= stop.ended_ms
             and call.ended_ms >= stop.asked_ms
         ]
-    return wrong
+    return violations
 
 
-def _is_turned_away(stop: events.Stopped, call: events.Call) -> bool:
-    """Whether a leaving node refused a call that came after its stop began.
+def _is_refused_by_leaving_vm(
+    stop: events.EntryVmStop, call: events.Call
+) -> bool:
+    """Whether a stopping entry VM refused a call that began after the stop.
 
-    A resend is refused as unknown, since an earlier attempt may have run.
+    A retry is refused as unknown, since an earlier attempt may have run.
     """
     late = call.began_ms >= stop.asked_ms
     return late and call.reason == str(outcomes.Reason.LEAVING)
@@ -309,47 +326,58 @@
 
 
 def check_configuration(history: events.History) -> list[str]:
-    """What was accepted is in force within seconds and never reverts."""
-    took_effect = {revision for revision, _, _ in fold_configuration(history)}
-    wrong = []
-    for published in history.published:
+    """Accepted revisions come into force in time and are never reverted.
+
+    At most one publish on the same base is accepted.
+    """
+    took_effect = {revision for revision, _, _ in list_configurations(history)}
+    violations = []
+    for published in history.publishes:
         if published.accepted and published.revision not in took_effect:
-            wrong.append(f"{published.revision} was accepted without effect")
-    winners = collections.Counter(
-        published.base for published in history.published if published.accepted
+            violations.append(
+                f"{published.revision} was accepted without effect"
+            )
+    accepted_by_base = collections.Counter(
+        published.base for published in history.publishes if published.accepted
     )
-    wrong += [
+    violations += [
         f"{count} publishes on base {base} were accepted"
-        for base, count in winners.items()
+        for base, count in accepted_by_base.items()
         if count > 1
     ]
-    highest: dict[tuple[str, int], int] = {}
-    for seen in sorted(history.seen, key=lambda seen: seen.at_ms):
-        if seen.revision not in took_effect:
-            wrong.append(f"{seen.vm} serves {seen.revision}, never in force")
-        before = highest.get((seen.vm, seen.process), 0)
-        highest[seen.vm, seen.process] = max(before, seen.revision)
-        if seen.revision < before:
-            wrong.append(
-                f"{seen.vm} went back from {before} to {seen.revision}"
+    highest_by_process: dict[tuple[str, int], int] = {}
+    for observed in sorted(
+        history.observed_revisions, key=lambda observed: observed.at_ms
+    ):
+        if observed.revision not in took_effect:
+            violations.append(
+                f"{observed.vm} serves {observed.revision}, never in force"
+            )
+        before = highest_by_process.get((observed.vm, observed.process), 0)
+        highest_by_process[observed.vm, observed.process] = max(
+            before, observed.revision
+        )
+        if observed.revision < before:
+            violations.append(
+                f"{observed.vm} went back from {before} to {observed.revision}"
             )
-        due = max(
+        required_revision = max(
             (
                 published.revision
-                for published in history.published
+                for published in history.publishes
                 if published.accepted
-                and published.ended_ms + IN_FORCE_WINDOW_MS < seen.at_ms
+                and published.ended_ms + IN_FORCE_WINDOW_MS < observed.at_ms
             ),
             default=0,
         )
-        if seen.revision < due and not is_excused(
-            history, seen.vm, seen.at_ms
+        if observed.revision < required_revision and not is_affected_by_outage(
+            history, observed.vm, observed.at_ms
         ):
-            wrong.append(
-                f"{seen.vm} serves {seen.revision} at {seen.at_ms:.0f}, "
-                f"{due} is due"
+            violations.append(
+                f"{observed.vm} serves {observed.revision} at "
+                f"{observed.at_ms:.0f}, {required_revision} is due"
             )
-    return wrong
+    return violations
 
 
 CHECKERS: dict[str, Checker] = {
@@ -357,8 +385,8 @@
     "withdrawn versions": check_withdrawn,
     "sessions": check_sessions,
     "bills": check_bills,
-    "whole answers": check_answers,
-    "true refusals": check_refusals,
+    "complete answers": check_answers,
+    "correct refusals": check_refusals,
     "at most once": check_once,
     "leaving endpoints": check_leaving,
     "planned stops": check_stops,
@@ -367,7 +395,7 @@
 
 
 def check_all(history: events.History) -> list[str]:
-    """Every violation of every property."""
+    """Run all checkers; each violation begins with its property's name."""
     return [
         f"{name}: {violation}"
         for name, check in CHECKERS.items()
--- a/tests/history/events.py
+++ b/tests/history/events.py
@@ -1,4 +1,4 @@
-"""What a history is made of; every time is the machine's monotonic ms."""
+"""The events of a history; all times are monotonic milliseconds."""
 
 import enum
 import typing
@@ -7,7 +7,7 @@
 
 
 class Kind(enum.Enum):
-    """How a call ended, as its caller saw it."""
+    """How a call ended, from its caller's point of view."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -19,12 +19,13 @@
 
 @attrs.frozen(kw_only=True)
 class Call:
-    """One call and its return.
+    """One attempt of a request and its result.
 
-    ``key`` is the caller's; ``ticket`` the identity of its ticket, if any,
-    and ``issuer`` the entry VM that issued it.
-    ``expected`` maps each version to the text that it answers to this
-    request; ``whole`` says that the end marker fits the text.
+    ``key`` is the caller's request key; ``ticket`` is the id of its ticket,
+    if any, and ``issuer`` the entry VM that issued it. ``once`` marks
+    requests that must not be repeated. ``expected`` maps each version to
+    the text that it answers to this request; ``complete`` says that the
+    end marker matches the text.
     """
 
     key: str
@@ -42,7 +43,7 @@
     text: str = ""
     expected: dict[str, str] = attrs.field(factory=dict)
     version: str = ""
-    whole: bool = True
+    complete: bool = True
     cost: float | None = None
     reason: str = ""
 
@@ -68,8 +69,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class Published:
-    """What an operator was told about a publish."""
+class PublishOutcome:
+    """The result of a publish that was reported to its operator."""
 
     base: int
     accepted: bool
@@ -78,8 +79,11 @@
 
 
 @attrs.frozen(kw_only=True)
-class Seen:
-    """The revision that an entry VM serves; a process each incarnation."""
+class ObservedRevision:
+    """The revision that an entry VM served at a time.
+
+    ``process`` is the process id, which differs between incarnations.
+    """
 
     vm: str
     process: int
@@ -88,15 +92,15 @@
 
 
 @attrs.frozen(kw_only=True)
-class Left:
-    """An endpoint was told to leave."""
+class EndpointLeaving:
+    """An endpoint was marked as leaving."""
 
     endpoint: str
     at_ms: float
 
 
 @attrs.frozen(kw_only=True)
-class Stopped:
+class EntryVmStop:
     """A planned stop of an entry VM."""
 
     vm: str
@@ -107,10 +111,12 @@
 
 @attrs.frozen(kw_only=True)
 class Outage:
-    """While these entry VMs could hear neither the log nor a peer.
+    """A period in which entry VMs could reach neither the log nor a peer.
 
-    Frozen entry VMs count too. Only checks about the time until something
-    holds everywhere look at outages, never those about safety.
+    Suspended entry VMs count too. Outages extend the time within which a
+    change of the configuration must be in force, and excuse the calls that
+    they overlap from the check of planned stops. The checks of answers,
+    bills, sessions, refusals and "at most once" ignore them.
     """
 
     vms: tuple[str, ...]
@@ -120,7 +126,7 @@
 
 @attrs.frozen(kw_only=True)
 class Crash:
-    """An entry VM or endpoint ended at once; its work broke off."""
+    """An entry VM or endpoint was killed or crashed during its work."""
 
     name: str
     at_ms: float
@@ -128,18 +134,18 @@
 
 @attrs.define
 class History:
-    """All that happened in one run."""
+    """All events of one run."""
 
     calls: list[Call] = attrs.field(factory=list)
     runs: list[Run] = attrs.field(factory=list)
     records: list[Record] = attrs.field(factory=list)
-    published: list[Published] = attrs.field(factory=list)
-    seen: list[Seen] = attrs.field(factory=list)
-    left: list[Left] = attrs.field(factory=list)
-    stopped: list[Stopped] = attrs.field(factory=list)
+    publishes: list[PublishOutcome] = attrs.field(factory=list)
+    observed_revisions: list[ObservedRevision] = attrs.field(factory=list)
+    left: list[EndpointLeaving] = attrs.field(factory=list)
+    stops: list[EntryVmStop] = attrs.field(factory=list)
     outages: list[Outage] = attrs.field(factory=list)
     crashes: list[Crash] = attrs.field(factory=list)
 
     def stream(self, name: str) -> typing.Iterator[Record]:
-        """Records of one stream of the log, in order."""
+        """The records of one stream of the log, in order."""
         return (record for record in self.records if record.stream == name)
--- a/tests/history/recorder.py
+++ b/tests/history/recorder.py
@@ -1,4 +1,4 @@
-"""Concurrent callers of a running deployment, and the history they make."""
+"""Runs concurrent callers against a deployment and records the history."""
 
 import concurrent.futures
 import hashlib
@@ -19,13 +19,13 @@
 from tests.standins import engine
 
 CALL_TIMEOUT_S = 10.0
-RESENDS = 3
+MAX_SENDS = 3
 WATCH_INTERVAL_S = 0.2
-PAUSE_S = 0.05
+CALLER_PAUSE_S = 0.05
 KINDS = ("quick", "deep", "session", "ticket", "keyed", "look")
 CRASH_MARK = "crash-here"
 
-_LOST = (
+_CONNECTION_ERRORS = (
     httpcore.TimeoutException,
     httpcore.NetworkError,
     httpcore.ProtocolError,
@@ -33,13 +33,16 @@
 
 
 def now_ms() -> float:
-    """The clock of every time in a history."""
+    """The clock of all times in a history."""
     return time.monotonic() * 1000
 
 
 @attrs.define
 class Recorder:
-    """Callers, a watcher, and what they saw."""
+    """Runs callers and a watcher, and records what they observe.
+
+    ``sessions`` has the open session of each caller and customer.
+    """
 
     running: linked.LinkedDeployment
     history: events.History = attrs.field(factory=events.History)
@@ -47,7 +50,7 @@
     sessions: dict[str, dict] = attrs.field(factory=dict)
 
     def work(self, seed: int, callers: int = 6) -> "Work":
-        """Start the callers and the watcher; ``stop`` joins them."""
+        """Start the callers and the watcher; ``Work.stop`` joins them."""
         pool = concurrent.futures.ThreadPoolExecutor(callers + 1)
         tasks = [
             pool.submit(self.run_caller, number, seed)
@@ -57,17 +60,17 @@
         return Work(self, pool, tasks)
 
     def run_caller(self, number: int, seed: int) -> None:
-        """Send one request after the other until told to stop."""
+        """Send requests in sequence until the run ends."""
         draw = random.Random(f"{seed}-{number}")
         for count in itertools.count():
-            if self.ended.wait(PAUSE_S):
+            if self.ended.wait(CALLER_PAUSE_S):
                 return
             kind = draw.choice(KINDS)
             customer = draw.choice(("alpha", "alpha", "beta"))
             self.send(f"c{number}-{count}", kind, customer, draw)
 
     def pick_vm(self, draw: random.Random) -> deployment.EntryProcess:
-        """Any entry VM, as a balancer would."""
+        """Pick a random entry VM, like a load balancer."""
         return draw.choice(list(self.running.entry_vms))
 
     def send(
@@ -78,7 +81,10 @@
         draw: random.Random,
         text: str = "",
     ) -> list[events.Call]:
-        """Send a request, again through other entry VMs while not known."""
+        """Send a request; retry it while its outcome is not known.
+
+        Each attempt goes through a random entry VM. Returns the attempts.
+        """
         call = events.Call(
             key=key,
             customer=customer,
@@ -97,21 +103,21 @@
             headers["Carawayward-Key-Made-At"] = str(time.time_ns() // 10**6)
         try:
             call = self.prepare(call, headers, self.pick_vm(draw))
-        except _LOST:
+        except _CONNECTION_ERRORS:
             return []
-        made = []
-        for attempt in range(RESENDS):
+        sent = []
+        for attempt in range(MAX_SENDS):
             if call.once:
                 headers["Carawayward-Attempt"] = str(attempt + 1)
             vm = self.pick_vm(draw)
-            made.append(self.send_once(call, vm, headers, text))
-            self.history.calls.append(made[-1])
-            if made[-1].kind is events.Kind.NOT_RUN:
+            sent.append(self.send_once(call, vm, headers, text))
+            self.history.calls.append(sent[-1])
+            if sent[-1].kind is events.Kind.NOT_RUN:
                 session = f"{key.partition('-')[0]} {customer}"
                 self.sessions.pop(session, None)
-            if made[-1].kind in (events.Kind.ANSWERED, events.Kind.NOT_RUN):
+            if sent[-1].kind in (events.Kind.ANSWERED, events.Kind.NOT_RUN):
                 break
-        return made
+        return sent
 
     def prepare(
         self,
@@ -119,15 +125,15 @@
         headers: dict[str, str],
         vm: deployment.EntryProcess,
     ) -> events.Call:
-        """Open the session or take the ticket that a call needs.
+        """Open the session or get the ticket that a call needs.
 
-        A caller goes on with its customer's session until it is refused.
+        A caller reuses a customer's session until a request is refused.
         """
         if call.target == "session":
             name = f"{call.key.partition('-')[0]} {call.customer}"
             opened = self.sessions.get(name)
             if opened is None:
-                reply = self.ask(vm, "/v1/sessions", headers)
+                reply = self.post(vm, "/v1/sessions", headers)
                 if reply.status != 201:
                     return call
                 opened = self.sessions[name] = reply.json()
@@ -136,7 +142,7 @@
                 call, session=opened["session"], pins=opened["versions"]
             )
         if call.target == "ticket":
-            reply = self.ask(vm, "/v1/tickets", headers)
+            reply = self.post(vm, "/v1/tickets", headers)
             if reply.status == 201:
                 headers["Carawayward-Ticket"] = reply.json()["ticket"]
                 signer = tokens.Signer(tuple(deployment.KEYS["tokens"]))
@@ -146,10 +152,10 @@
                 )
         return call
 
-    def ask(
+    def post(
         self, vm: deployment.EntryProcess, path: str, headers: dict[str, str]
     ) -> deployment.Response:
-        """Make a call that is no request by itself."""
+        """Send a request for a session or a ticket, with a short timeout."""
         return deployment.call("POST", vm.callers, path, {}, headers, 3.0)
 
     def send_once(
@@ -159,7 +165,7 @@
         headers: dict[str, str],
         text: str,
     ) -> events.Call:
-        """Send a request once and note what came back."""
+        """Send one attempt of a request; return its result."""
         path = "/v1/services/desk/log"
         body: dict[str, typing.Any] = {"text": call.key}
         if call.target == "look":
@@ -185,7 +191,7 @@
             seen = read_reply(reply, bool(expected), stream)
         except httpcore.ConnectError:
             seen = {"kind": events.Kind.NO_CONNECTION}
-        except _LOST:
+        except _CONNECTION_ERRORS:
             seen = {"kind": events.Kind.NO_ANSWER}
         return attrs.evolve(
             call,
@@ -197,7 +203,7 @@
         )
 
     def watch(self) -> None:
-        """Note which revision each entry VM serves."""
+        """Record periodically which revision each entry VM serves."""
         while not self.ended.wait(WATCH_INTERVAL_S):
             for vm in list(self.running.entry_vms):
                 process = vm.process
@@ -207,11 +213,11 @@
                     reply = deployment.call(
                         "GET", vm.callers, "/readyz", None, None, 0.5
                     )
-                except _LOST:
+                except _CONNECTION_ERRORS:
                     continue
                 if reply.status == 200 and vm.process is process:
-                    self.history.seen.append(
-                        events.Seen(
+                    self.history.observed_revisions.append(
+                        events.ObservedRevision(
                             vm=vm.name,
                             process=process.pid,
                             revision=reply.json()["revision"],
@@ -219,21 +225,21 @@
                         )
                     )
 
-    def publish(self, document: dict, base: int) -> linked.Published:
-        """Publish and note what the operator was told."""
-        told = self.running.publish_document(document, base)
-        self.history.published.append(
-            events.Published(
+    def publish(self, document: dict, base: int) -> linked.PublishResult:
+        """Publish a document and record the operator's result."""
+        result = self.running.publish_document(document, base)
+        self.history.publishes.append(
+            events.PublishOutcome(
                 base=base,
-                accepted=told.accepted,
-                revision=told.revision,
-                ended_ms=told.ended_ms,
+                accepted=result.accepted,
+                revision=result.revision,
+                ended_ms=result.ended_ms,
             )
         )
-        return told
+        return result
 
     def collect(self) -> events.History:
-        """Fetch runs and records and return the history so far."""
+        """Fetch runs and log records; return the history so far."""
         self.history.records = [
             events.Record(
                 stream=stream,
@@ -253,7 +259,7 @@
         return self.history
 
     def list_runs(self, name: str) -> list[dict]:
-        """An endpoint's runs, with those that it left as it crashed."""
+        """List an endpoint's runs, including those from before crashes."""
         left = []
         output = (self.running.folder / f"{name}.out").read_text()
         for line in output.splitlines():
@@ -264,14 +270,14 @@
 
 @attrs.define
 class Work:
-    """Callers under way."""
+    """The running callers and the watcher."""
 
     recorder: Recorder
     pool: concurrent.futures.ThreadPoolExecutor
     tasks: list[concurrent.futures.Future]
 
     def stop(self) -> None:
-        """Let each caller finish its request; raise what one met."""
+        """Wait for the callers' last requests; raise their exceptions."""
         self.recorder.ended.set()
         self.pool.shutdown()
         for task in self.tasks:
@@ -279,7 +285,7 @@
 
 
 def make_run(endpoint: str, run: dict) -> events.Run:
-    """A run from a stand-in's own note of it."""
+    """Make a run from a stand-in's record of it."""
     if "run_id" in run:
         key = run["run_id"].partition(".")[0]
     else:
@@ -295,7 +301,7 @@
 def read_reply(
     reply: deployment.Response, completion: bool, stream: bool
 ) -> dict[str, typing.Any]:
-    """Kind, text, version and cost of a reply."""
+    """Parse a response into fields of a call."""
     if reply.status != 200:
         return read_failure(reply)
     if not completion:
@@ -305,13 +311,16 @@
         body = reply.json()
         extra = body["carawayward"]
         text = body["choices"][0]["message"]["content"]
-        whole = extra["digest"] == hashlib.sha256(text.encode()).hexdigest()
-        return make_answer(text, whole, body["model"], extra["cost"])
+        complete = extra["digest"] == hashlib.sha256(text.encode()).hexdigest()
+        return make_answer(text, complete, body["model"], extra["cost"])
     return read_stream(reply)
 
 
 def read_failure(reply: deployment.Response) -> dict[str, typing.Any]:
-    """Kind and reason of a refusal or failure."""
+    """Parse a refusal or failure into kind and reason.
+
+    A body that is not valid counts as no answer.
+    """
     try:
         body = reply.json()
     except ValueError:
@@ -324,36 +333,36 @@
 
 
 def read_stream(reply: deployment.Response) -> dict[str, typing.Any]:
-    """A streamed answer; without an end marker it is not whole."""
-    pieces = [
+    """Parse a streamed answer; without an end marker it is no answer."""
+    chunks = [
         json.loads(line[6:])
         for line in reply.content.decode().splitlines()
         if line.startswith("data: {")
     ]
     text = "".join(
-        piece["choices"][0]["delta"].get("content", "")
-        for piece in pieces
-        if "choices" in piece
+        chunk["choices"][0]["delta"].get("content", "")
+        for chunk in chunks
+        if "choices" in chunk
     )
-    last = pieces[-1] if pieces else {}
+    last = chunks[-1] if chunks else {}
     if "error" in last:
         return {"kind": events.Kind(last["error"]["outcome"]), "text": text}
     end = last.get("carawayward", {})
     if not end.get("end"):
         return {"kind": events.Kind.NO_ANSWER, "text": text}
     digest = hashlib.sha256(text.encode()).hexdigest()
-    whole = (end["length"], end["digest"]) == (len(text), digest)
-    return make_answer(text, whole, last["model"], end["cost"])
+    complete = (end["length"], end["digest"]) == (len(text), digest)
+    return make_answer(text, complete, last["model"], end["cost"])
 
 
 def make_answer(
-    text: str, whole: bool, version: str, cost: float
+    text: str, complete: bool, version: str, cost: float
 ) -> dict[str, typing.Any]:
-    """Fields of an answered call."""
+    """Make the fields of an answered call."""
     return {
         "kind": events.Kind.ANSWERED,
         "text": text,
-        "whole": whole,
+        "complete": complete,
         "version": version,
         "cost": cost,
     }
--- a/tests/history/test_checkers.py
+++ b/tests/history/test_checkers.py
@@ -1,4 +1,4 @@
-"""Each checker accepts a sound history and rejects a broken one."""
+"""Each checker accepts a valid history and rejects an invalid one."""
 
 import typing
 
@@ -16,7 +16,7 @@
 
 
 def make_record(offset: int, base: int, **states: str) -> events.Record:
-    """A publish record, at ``offset`` seconds."""
+    """Make a publish record, appended at ``offset`` seconds."""
     document = linked.make_document(**states)
     publish = config_log.Publish(
         publish_id=f"p{offset}",
@@ -34,7 +34,7 @@
 
 
 def make_bill(key: str) -> events.Record:
-    """A bill in the log."""
+    """Make a log record of a bill."""
     bill = billing.Bill(
         customer="alpha",
         request_key=key,
@@ -48,7 +48,7 @@
     return events.Record(stream="billing", offset=1, at_ms=9e3, data=data)
 
 
-SOUND_CALL = events.Call(
+VALID_CALL = events.Call(
     key="k",
     customer="alpha",
     vm="vm-0",
@@ -62,22 +62,22 @@
     version="cheap-1",
     cost=0.5,
 )
-SOUND_RUN = events.Run(
+VALID_RUN = events.Run(
     key="k", endpoint="engines-0", at_ms=5_500, version="cheap-1"
 )
 
 
-def make_sound() -> events.History:
-    """A history in which everything holds, with every kind of event.
+def make_valid_history() -> events.History:
+    """Make a history that violates no property, with all kinds of events.
 
-    The configuration of 20 s withdraws cheap-1; vm-1 is cut off from 15 s
-    to 40 s and may go on with the old one until it has recovered.
+    The configuration of 20 s withdraws cheap-1. vm-1 is partitioned from
+    15 s to 40 s and may use the old configuration until it has recovered.
     """
-    refused = attrs.evolve(SOUND_CALL, key="n", kind=events.Kind.NOT_RUN)
+    refused = attrs.evolve(VALID_CALL, key="n", kind=events.Kind.NOT_RUN)
     once = attrs.evolve(
-        SOUND_CALL, key="o", once=True, ticket="t", issuer="vm-0", session=""
+        VALID_CALL, key="o", once=True, ticket="t", issuer="vm-0", session=""
     )
-    turned_away = attrs.evolve(
+    refused_by_leaving = attrs.evolve(
         once,
         began_ms=5_600,
         ended_ms=5_610,
@@ -85,14 +85,14 @@
         reason="leaving",
     )
     cut_off = attrs.evolve(
-        SOUND_CALL, key="c", vm="vm-1", began_ms=45_000, ended_ms=46_000
+        VALID_CALL, key="c", vm="vm-1", began_ms=45_000, ended_ms=46_000
     )
     return events.History(
-        calls=[SOUND_CALL, refused, once, turned_away, cut_off],
+        calls=[VALID_CALL, refused, once, refused_by_leaving, cut_off],
         runs=[
-            SOUND_RUN,
+            VALID_RUN,
             events.Run(key="o", endpoint="desk-0", at_ms=5_500),
-            attrs.evolve(SOUND_RUN, key="c", at_ms=45_500),
+            attrs.evolve(VALID_RUN, key="c", at_ms=45_500),
         ],
         records=[
             make_record(1, 0),
@@ -102,22 +102,28 @@
             make_bill("t"),
             make_bill("c"),
         ],
-        published=[
-            events.Published(
+        publishes=[
+            events.PublishOutcome(
                 base=1, accepted=True, revision=20, ended_ms=20_000
             ),
-            events.Published(
+            events.PublishOutcome(
                 base=1, accepted=False, revision=0, ended_ms=20_000
             ),
         ],
-        seen=[
-            events.Seen(vm="vm-0", process=1, revision=1, at_ms=25_000),
-            events.Seen(vm="vm-0", process=1, revision=20, at_ms=27_000),
-            events.Seen(vm="vm-1", process=1, revision=1, at_ms=45_000),
+        observed_revisions=[
+            events.ObservedRevision(
+                vm="vm-0", process=1, revision=1, at_ms=25_000
+            ),
+            events.ObservedRevision(
+                vm="vm-0", process=1, revision=20, at_ms=27_000
+            ),
+            events.ObservedRevision(
+                vm="vm-1", process=1, revision=1, at_ms=45_000
+            ),
         ],
-        left=[events.Left(endpoint="engines-0", at_ms=44_000)],
-        stopped=[
-            events.Stopped(
+        left=[events.EndpointLeaving(endpoint="engines-0", at_ms=44_000)],
+        stops=[
+            events.EntryVmStop(
                 vm="vm-0", asked_ms=5_500, ended_ms=7_000, exit_code=0
             )
         ],
@@ -126,54 +132,56 @@
 
 
 def change_call(**changes: typing.Any) -> Change:
-    """A call with something changed."""
+    """Change fields of the first call."""
 
     def change(history: events.History) -> None:
-        history.calls[0] = attrs.evolve(SOUND_CALL, **changes)
+        history.calls[0] = attrs.evolve(VALID_CALL, **changes)
 
     return change
 
 
 def add_run(**changes: typing.Any) -> Change:
-    """One more run."""
+    """Add a run."""
     return lambda history: history.runs.append(
-        attrs.evolve(SOUND_RUN, **changes)
+        attrs.evolve(VALID_RUN, **changes)
     )
 
 
 def add_seen(vm: str, revision: int, at_ms: float) -> Change:
-    """One more look at a revision."""
-    return lambda history: history.seen.append(
-        events.Seen(vm=vm, process=1, revision=revision, at_ms=at_ms)
+    """Add an observation of a served revision."""
+    return lambda history: history.observed_revisions.append(
+        events.ObservedRevision(
+            vm=vm, process=1, revision=revision, at_ms=at_ms
+        )
     )
 
 
 def add_stop(**changes: typing.Any) -> Change:
-    """One more planned stop."""
-    return lambda history: history.stopped.append(
-        attrs.evolve(history.stopped[0], **changes)
+    """Add a planned stop."""
+    return lambda history: history.stops.append(
+        attrs.evolve(history.stops[0], **changes)
     )
 
 
 def accept_both(history: events.History) -> None:
-    """Both racing operators were told "accepted"."""
-    history.published[1] = attrs.evolve(
-        history.published[1], accepted=True, revision=21
+    """Both publishes on one base were reported as accepted."""
+    history.publishes[1] = attrs.evolve(
+        history.publishes[1], accepted=True, revision=21
     )
 
 
 def run_strong_for_beta(history: events.History) -> None:
-    """A customer that may use cheap versions alone got a strong one."""
-    history.calls[0] = attrs.evolve(SOUND_CALL, customer="beta")
-    history.runs[0] = attrs.evolve(SOUND_RUN, version="strong-1")
+    """A customer that may only use the cheap model got the strong one."""
+    history.calls[0] = attrs.evolve(VALID_CALL, customer="beta")
+    history.runs[0] = attrs.evolve(VALID_RUN, version="strong-1")
 
 
 def drop_bill(history: events.History) -> None:
-    """The only bill of an answer is not in the log."""
+    """The only bill of an answer is missing from the log."""
     del history.records[-1]
 
 
-BROKEN: list[tuple[str, Change]] = [
+INVALID: list[tuple[str, Change]] = [
     ("allowed versions", run_strong_for_beta),
     ("allowed versions", add_run(key="nobody")),
     ("withdrawn versions", add_run(at_ms=29_000)),
@@ -184,10 +192,10 @@
     ("bills", lambda history: history.records.append(make_bill("o"))),
     ("bills", lambda history: history.records.append(make_bill("x"))),
     ("bills", change_call(cost=0.4)),
-    ("whole answers", change_call(text="no")),
-    ("whole answers", change_call(whole=False)),
-    ("true refusals", add_run(key="n", at_ms=5_500)),
-    ("true refusals", add_run(key="n", at_ms=90_000)),
+    ("complete answers", change_call(text="no")),
+    ("complete answers", change_call(complete=False)),
+    ("correct refusals", add_run(key="n", at_ms=5_500)),
+    ("correct refusals", add_run(key="n", at_ms=90_000)),
     ("at most once", add_run(key="o", endpoint="desk-1", version="")),
     ("leaving endpoints", add_run(at_ms=50_000)),
     ("planned stops", add_stop(exit_code=1)),
@@ -205,19 +213,19 @@
 
 
 def test_sound_history_is_accepted_by_every_checker():
-    """Doubled records, retries and cut-off nodes are no violations."""
-    assert checkers.check_all(make_sound()) == []
+    """Duplicate records, retries and partitioned VMs are no violations."""
+    assert checkers.check_all(make_valid_history()) == []
 
 
 def test_every_property_has_a_broken_history():
-    """No checker goes without a history that it must reject."""
-    assert {name for name, _ in BROKEN} == set(checkers.CHECKERS)
+    """Each checker has at least one history that it must reject."""
+    assert {name for name, _ in INVALID} == set(checkers.CHECKERS)
 
 
-@params(*range(len(BROKEN)))
+@params(*range(len(INVALID)))
 def test_broken_history_is_rejected(index):
-    """Each broken history is rejected by the checker of its property."""
-    name, change = BROKEN[index]
-    history = make_sound()
+    """Each invalid history is rejected by the checker of its property."""
+    name, change = INVALID[index]
+    history = make_valid_history()
     change(history)
     assert checkers.CHECKERS[name](history) != []
--- a/tests/model/__init__.py
+++ b/tests/model/__init__.py
@@ -1,1 +1,1 @@
-"""Model checks of the core protocols."""
+"""Model checking of the core protocols."""
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,12 +1,12 @@
-"""Runs the tests with nose2, a process a module, and prints the verdict.
+"""Runs the tests with nose2, one process per module, and reports the result.
 
-Each line of KNOWN-RED.txt begins with a test's full name. Those tests are
-run too; a failure of theirs is printed and does not fail the run, and one
-that passes again does fail it, so that the list cannot grow stale. The word
-``sometimes`` after the name is for a test that failed once in many runs: it
-may pass, and a failure of it is printed all the same.
+Each line of KNOWN-RED.txt starts with the full name of a test that is
+expected to fail. Such tests are run too: their failures are printed but do
+not fail the run. One that passes does fail the run, so that the list cannot
+become outdated, unless the word ``sometimes`` follows its name; that marks
+flaky tests, which may pass or fail.
 
-Names given as arguments are modules, such as ``tests.cover.test_settings``.
+Arguments are names of modules, such as ``tests.cover.test_settings``.
 """
 
 import concurrent.futures
@@ -20,11 +20,11 @@
 import attrs
 
 KNOWN_RED = pathlib.Path("KNOWN-RED.txt")
-KNOWN_RED_MOST = 3
+MAX_KNOWN_RED = 3
 SLOWEST_SHOWN = 10
 MODULE_TIMEOUT_S = 420
-# Modules of these folders start whole deployments; few run side by side, so
-# that a busy machine does not change their verdict.
+# Modules in these folders start complete deployments. Few of them run in
+# parallel, so that their outcome does not depend on the load of the machine.
 HEAVY = ("failures", "history")
 LIGHT_WORKERS = 4
 HEAVY_WORKERS = 2
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class ModuleResult:
-    """What one module's tests did."""
+    """The outcomes and durations of one module's tests, and its output."""
 
     module: str
     outcomes: dict[str, str]
@@ -41,7 +41,7 @@
 
 
 def find_modules() -> list[str]:
-    """All test modules, in a fixed order."""
+    """Find all test modules, in a fixed order."""
     return [
         str(path.with_suffix("")).replace("/", ".")
         for path in sorted(pathlib.Path("tests").glob("*/test_*.py"))
@@ -49,13 +49,16 @@
 
 
 def run_module(module: str) -> ModuleResult:
-    """Run one module in a process of its own."""
+    """Run one module in a separate process.
+
+    Without results, as after a crash or a timeout, the module is an error.
+    """
     with tempfile.TemporaryDirectory() as folder:
         results = pathlib.Path(folder) / "results.json"
-        words = ["-m", "tests.common.collecting", module, str(results)]
+        arguments = ["-m", "tests.common.collecting", module, str(results)]
         try:
             done = subprocess.run(
-                [sys.executable, *words],
+                [sys.executable, *arguments],
                 stdout=subprocess.PIPE,
                 stderr=subprocess.STDOUT,
                 stdin=subprocess.DEVNULL,
@@ -75,22 +78,22 @@
 
 
 def read_known_red() -> dict[str, bool]:
-    """Tests known to fail for a real fault, and whether only sometimes."""
+    """Read the tests that are known to fail, and whether only sometimes."""
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
-    words = [line.split() for line in lines if line.strip()]
+    entries = [line.split() for line in lines if line.strip()]
     names = {
         first.rstrip(":"): second.rstrip(":") == "sometimes"
-        for first, second, *_ in words
+        for first, second, *_ in entries
     }
-    if len(names) > KNOWN_RED_MOST:
-        raise SystemExit(f"{KNOWN_RED}: {KNOWN_RED_MOST} lines at most")
+    if len(names) > MAX_KNOWN_RED:
+        raise SystemExit(f"{KNOWN_RED}: {MAX_KNOWN_RED} lines at most")
     return names
 
 
 def run_all(modules: list[str]) -> list[ModuleResult]:
-    """Run light modules side by side, then heavy ones, fewer at once."""
+    """Run light modules in parallel, then heavy ones, fewer at once."""
     heavy = [m for m in modules if m.split(".")[1] in HEAVY]
     light = [m for m in modules if m not in heavy]
     results: list[ModuleResult] = []
@@ -100,17 +103,17 @@
     return results
 
 
-def show_slowest(results: list[ModuleResult]) -> None:
+def print_slowest(results: list[ModuleResult]) -> None:
     """Print the slowest tests."""
     seconds = {n: s for result in results for n, s in result.seconds.items()}
     print("\nslowest tests:")
     ranked = sorted(seconds.items(), key=lambda item: -item[1])
-    for name, taken in ranked[:SLOWEST_SHOWN]:
-        print(f"  {taken:7.2f} s  {name}")
+    for name, duration_s in ranked[:SLOWEST_SHOWN]:
+        print(f"  {duration_s:7.2f} s  {name}")
 
 
 def main(names: list[str]) -> int:
-    """Run the tests, print the verdict and return the exit code."""
+    """Run the tests, print the result and return the exit code."""
     listed = read_known_red()
     known_red = set(listed)
     results = run_all(names or find_modules())
@@ -119,20 +122,20 @@
     for result in results:
         if bad & set(result.outcomes):
             print(f"==== {result.module}\n{result.output}")
-    show_slowest(results)
+    print_slowest(results)
     for name in sorted(bad & known_red):
         print(f"known red: {name}")
     always_red = {n for n, sometimes in listed.items() if not sometimes}
-    cured = always_red & (set(outcomes) - bad)
+    passing_again = always_red & (set(outcomes) - bad)
     if not names:
-        cured = always_red - bad
-    for name in sorted(cured):
+        passing_again = always_red - bad
+    for name in sorted(passing_again):
         print(f"{KNOWN_RED}: {name} did not fail; take its line out")
     for name in sorted(bad - known_red):
         print(f"failed: {name} ({outcomes[name]})")
     passed = len(outcomes) - len(bad)
     print(f"{passed} passed, {len(bad - known_red)} failed")
-    return int(bool(bad - known_red or cured) or passed == 0)
+    return int(bool(bad - known_red or passing_again) or passed == 0)
 
 
 if __name__ == "__main__":
