--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks; timings live here and not in the tests."""
+"""Benchmarks. Timings are measured here and not in the tests."""
--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -1,7 +1,7 @@
-"""What agreement costs and how fast it is, over real processes.
+"""Measures latency and cost of the agreement between entry VMs.
 
 ``./build.sh bench agreed propagation|grouping|control``; each prints a
-table of Markdown. Every process runs on this one machine, so times hold
+Markdown table. All processes run on one machine, so that times are valid
 only while it is not saturated.
 """
 
@@ -22,14 +22,14 @@
 from tests.common import deployment
 
 PUBLISHES = 20
-GAP_S = 1.0
-OUTAGE_GAP_S = 2.5
-STARTS = 3
-ACCEPTED = re.compile(r'"name": "config_in_force", "revision": (\d+)')
-STAMP = re.compile(r"^[IWE](\d{4}) (\d\d):(\d\d):(\d\d\.\d+) ")
+PUBLISH_INTERVAL_S = 1.0
+OUTAGE_PUBLISH_INTERVAL_S = 2.5
+MAX_STARTS = 3
+REVISION_IN_FORCE = re.compile(r'"name": "config_in_force", "revision": (\d+)')
+LOG_TIMESTAMP = re.compile(r"^[IWE](\d{4}) (\d\d):(\d\d):(\d\d\.\d+) ")
 AUTH = {"Authorization": "Bearer demo-ikeja-families"}
 PATH = "/v1/services/swap-desk/log-swap"
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 PLAN = attrs.evolve(
     deployment.ODUYA,
@@ -38,21 +38,27 @@
 
 
 def read_stream(running: deployment.Deployment, stream: str) -> list[dict]:
-    """Every record of a stream."""
+    """Read all records of a stream of the log."""
     path = f"/streams/{stream}/records?from=1&limit=1000000"
     address = running.addresses["log"]
     return deployment.call("GET", address, path).json()["records"]
 
 
-def list_arrivals(
+def read_arrival_times(
     running: deployment.Deployment,
 ) -> dict[int, dict[str, float]]:
-    """When each revision came into force on each node (wall clock, ms)."""
+    """Read when each revision came into force on each entry VM.
+
+    By revision and name; the times are wall-clock ms from the VMs' logs.
+    """
     found: dict[int, dict[str, float]] = collections.defaultdict(dict)
     for vm in running.entry_vms:
         text = (running.folder / f"{vm.name}.out").read_text()
         for line in text.splitlines():
-            stamp, accepted = STAMP.match(line), ACCEPTED.search(line)
+            stamp, accepted = (
+                LOG_TIMESTAMP.match(line),
+                REVISION_IN_FORCE.search(line),
+            )
             if stamp is None or accepted is None:
                 continue
             year = time.localtime().tm_year
@@ -64,7 +70,7 @@
 
 
 def publish_many(running: deployment.Deployment, gap_s: float) -> None:
-    """Publish changed declarations one after another."""
+    """Publish a series of changed declarations."""
     document = yaml.safe_load(
         pathlib.Path(running.plan.declaration).read_text()
     )
@@ -77,7 +83,7 @@
 
 
 def summarize(times: list[float]) -> str:
-    """Median, 99th percentile and maximum, as cells."""
+    """Format median, 99th percentile and maximum as table cells."""
     times = sorted(times)
     last = len(times) - 1
     cells = (times[last // 2], times[round(last * 0.99)], times[last])
@@ -85,7 +91,11 @@
 
 
 def propagation(nodes: int = 8) -> None:
-    """Time from the log's acceptance until each node has a revision."""
+    """Measure the time from an append until each entry VM has a revision.
+
+    Cases: the log reachable by all entry VMs, by one, and by all outside
+    one failure domain; the others learn revisions from their peers.
+    """
     print("| case | publishes | samples | p50 ms | p99 ms | max ms |")
     print("|---|---|---|---|---|---|")
     plan = attrs.evolve(PLAN, entry_vms=nodes)
@@ -101,9 +111,12 @@
             time.sleep(5)
             running.set_faults("log", cut=cut)
             time.sleep(12 if cut else 0)
-            publish_many(running, OUTAGE_GAP_S if cut else GAP_S)
+            publish_many(
+                running,
+                OUTAGE_PUBLISH_INTERVAL_S if cut else PUBLISH_INTERVAL_S,
+            )
             time.sleep(3)
-            arrivals = list_arrivals(running)
+            arrivals = read_arrival_times(running)
             records = read_stream(running, "configuration")
             accepted = {
                 record["offset"]: record["at_ms"]
@@ -121,9 +134,9 @@
 
 
 def send_keyed(running: deployment.Deployment, number: int) -> float | None:
-    """One call under a caller's own key; ms, or None if it failed."""
+    """Send a call with a caller's key; return ms, or None if it failed."""
     vm = running.entry_vms[number % len(running.entry_vms)]
-    began = time.monotonic()
+    started = time.monotonic()
     reply = deployment.call(
         "POST",
         vm.callers,
@@ -135,25 +148,25 @@
             "Carawayward-Key-Made-At": str(int(time.time() * 1000)),
         },
     )
-    return (time.monotonic() - began) * 1000 if reply.status == 200 else None
+    return (time.monotonic() - started) * 1000 if reply.status == 200 else None
 
 
 def send_at_rate(
     running: deployment.Deployment, rate: float, seconds: float
 ) -> list[float | None]:
-    """Send calls at a steady rate, whether or not answers come."""
+    """Send calls at a fixed rate, without waiting for answers."""
     with concurrent.futures.ThreadPoolExecutor(200) as pool:
-        began = time.monotonic()
+        started = time.monotonic()
         jobs = []
         for number in range(int(rate * seconds)):
-            due = began + number / rate
+            due = started + number / rate
             time.sleep(max(0.0, due - time.monotonic()))
             jobs.append(pool.submit(send_keyed, running, number))
         return [job.result() for job in jobs]
 
 
 def grouping(seconds: float = 10.0) -> None:
-    """Appends a second for claims and bills against requests a second."""
+    """Measure appends of claims and bills per second by request rate."""
     print(
         "| requests/s | answered | claim appends/s | claims an append "
         "| bill appends/s | bills an append | p50 ms | p99 ms | max ms |"
@@ -181,14 +194,14 @@
 
 
 def count_appends(running: deployment.Deployment) -> int:
-    """Calls of append that the log has taken."""
+    """Read the number of append calls that the log has accepted."""
     reply = deployment.call("GET", running.addresses["log"], "/control")
     return reply.json()["appends"]
 
 
 @attrs.frozen
 class Usage:
-    """What all sockets and processes have used so far."""
+    """Totals of all sockets and of all entry VMs' processes."""
 
     peer_bytes: int
     peer_segments: int
@@ -198,23 +211,23 @@
 
 
 def read_usage(running: deployment.Deployment) -> Usage:
-    """Add up the sockets (both ends of each) and the daemons."""
+    """Sum up the sockets, with both ends of each, and the daemons."""
     peers = {vm.peers for vm in running.entry_vms}
     platform = {running.addresses[name] for name in ("log", "vms")}
     listed = subprocess.run(
         ["ss", "-tinH"], capture_output=True, text=True, check=True
     ).stdout
     totals = collections.Counter[str]()
-    ends: tuple[str, str] = ("", "")
+    addresses: tuple[str, str] = ("", "")
     for line in listed.splitlines():
         if not line.startswith(("\t", " ")):
             words = line.split()
-            ends = (words[3], words[4])
+            addresses = (words[3], words[4])
             continue
         kind = "other"
-        if peers & set(ends):
+        if peers & set(addresses):
             kind = "peer"
-        elif platform & set(ends):
+        elif platform & set(addresses):
             kind = "platform"
         for field in ("bytes_sent", "data_segs_out"):
             found = re.search(rf"{field}:(\d+)", line)
@@ -224,7 +237,7 @@
         assert vm.process is not None
         folder = pathlib.Path(f"/proc/{vm.process.pid}")
         fields = (folder / "stat").read_text().rpartition(")")[2].split()
-        cpu_s += (int(fields[11]) + int(fields[12])) / TICKS
+        cpu_s += (int(fields[11]) + int(fields[12])) / TICKS_PER_S
         pages = int((folder / "statm").read_text().split()[1])
         memory_mb += pages * os.sysconf("SC_PAGE_SIZE") / 1e6
     return Usage(
@@ -237,16 +250,16 @@
 
 
 @contextlib.contextmanager
-def start_many(
+def start_large_deployment(
     plan: deployment.Plan,
 ) -> typing.Iterator[deployment.Deployment]:
-    """Run a large deployment; begin again when a port was taken meanwhile."""
-    for attempt in range(STARTS):
+    """Run a large deployment; retry the start if a port was in use."""
+    for attempt in range(MAX_STARTS):
         try:
             running = deployment.Deployment(plan).__enter__()
             break
         except TimeoutError:
-            if attempt == STARTS - 1:
+            if attempt == MAX_STARTS - 1:
                 raise
     try:
         yield running
@@ -255,10 +268,10 @@
 
 
 def control(seconds: float = 20.0) -> None:
-    """Control bytes, messages and processor time a node, with no load.
+    """Measure control traffic, CPU time and memory per idle entry VM.
 
-    Bytes are those of TCP payloads, each counted once, where it is sent;
-    a node receives as much as it sends. Two endpoints are probed.
+    Bytes are TCP payload and counted once, at the sender; on average an
+    entry VM receives as much as it sends. Two endpoints are probed.
     """
     print(
         "| entry VMs | peer bytes/s a node | peer segments/s | platform "
@@ -266,11 +279,13 @@
     )
     print("|---|---|---|---|---|---|")
     for nodes in (8, 32, 64):
-        with start_many(attrs.evolve(PLAN, entry_vms=nodes)) as running:
+        with start_large_deployment(
+            attrs.evolve(PLAN, entry_vms=nodes)
+        ) as running:
             time.sleep(15)
-            before, began = read_usage(running), time.monotonic()
+            before, started = read_usage(running), time.monotonic()
             time.sleep(seconds)
-            after, spent = read_usage(running), time.monotonic() - began
+            after, spent = read_usage(running), time.monotonic() - started
             share = nodes * spent
             print(
                 f"| {nodes} "
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,9 +1,9 @@
-"""Slopes for docs/CAPACITY.md: ``./build.sh bench capacity``.
+"""Measures the costs by size in docs/CAPACITY.md.
 
-Each figure is measured at several sizes on the shipped functions; the fit
-and its worst miss are printed. What needs processes or sockets (tokens
-relayed, control traffic between entry VMs) is in ``bench path`` and
-``bench agreed``.
+``./build.sh bench capacity`` measures the product's functions at several
+sizes and prints a linear fit of each with its largest error. Figures that
+need processes or sockets (relayed tokens, control traffic between entry
+VMs) are in ``bench path`` and ``bench agreed``.
 """
 
 import json
@@ -30,7 +30,7 @@
 
 
 def make_document(customers: int) -> dict:
-    """A declaration with all versions and this many customers."""
+    """Make a declaration with all versions and ``customers`` customers."""
     models = [
         {
             "name": f"model-{number}",
@@ -59,7 +59,7 @@
 
 
 def measure_configuration() -> typing.Iterator[fitting.Line]:
-    """What one change of the configuration costs a node."""
+    """Measure what one change of the configuration costs an entry VM."""
     sizes = (10, 40, 160, 640)
     documents = {size: make_document(size) for size in sizes}
     yield fitting.measure(
@@ -74,25 +74,25 @@
         "ms",
         "customer",
         sizes,
-        lambda n: fitting.time_ms(lambda: index_document(documents[n])),
+        lambda n: fitting.time_ms(lambda: adopt_document(documents[n])),
     )
     yield fitting.measure(
         "configuration: memory of a document in force",
         "kB",
         "customer",
         sizes,
-        lambda n: fitting.weigh_kb(lambda: index_document(documents[n])),
+        lambda n: fitting.measure_kb(lambda: adopt_document(documents[n])),
     )
 
 
-def index_document(document: dict) -> blackboard.ConfigInForce:
-    """What a node does with a valid publish."""
+def adopt_document(document: dict) -> blackboard.ConfigInForce:
+    """Process a valid publish as an entry VM does."""
     declaration.digest_document(document)
     return blackboard.ConfigInForce.from_config(1, document)
 
 
 def make_members(count: int) -> list[membership.Member]:
-    """Member records of entry VMs."""
+    """Make member records of entry VMs."""
     return [
         membership.Member(
             name=f"entry-{number:03}",
@@ -108,7 +108,7 @@
 
 
 def measure_membership() -> typing.Iterator[fitting.Line]:
-    """What member records cost to carry, merge and keep."""
+    """Measure what member records cost to transfer, merge and store."""
     sizes = (8, 32, 128, 410)
     rows = {
         n: [membership.encode_member(m) for m in make_members(n)]
@@ -133,12 +133,12 @@
         "kB",
         "record",
         sizes,
-        lambda n: fitting.weigh_kb(lambda: merge_rows(rows[n])),
+        lambda n: fitting.measure_kb(lambda: merge_rows(rows[n])),
     )
 
 
 def merge_rows(rows: list[list]) -> dict[str, membership.Heard]:
-    """What a node does with received records."""
+    """Merge received records as an entry VM does."""
     known: dict[str, membership.Heard] = {}
     for row in cbor2.loads(cbor2.dumps(rows)):
         member = membership.decode_member(row)
@@ -148,7 +148,7 @@
 
 
 def make_claims(count: int) -> list[claims.Claim]:
-    """Claims of callers' keys."""
+    """Make claims of callers' keys."""
     return [
         claims.Claim(
             claim_id=f"{number:016x}",
@@ -163,7 +163,7 @@
 
 
 def measure_claims() -> typing.Iterator[fitting.Line]:
-    """What reading and keeping claims costs every node."""
+    """Measure what claims cost every entry VM to read and store."""
     sizes = (1_000, 4_000, 16_000)
     made = {n: make_claims(n) for n in sizes}
     yield fitting.measure(
@@ -185,12 +185,12 @@
         "kB",
         "claim",
         sizes,
-        lambda n: fitting.weigh_kb(lambda: fold_group(made[n])),
+        lambda n: fitting.measure_kb(lambda: fold_group(made[n])),
     )
 
 
 def fold_group(group: list[claims.Claim]) -> claims.ClaimTable:
-    """What a reader does with one record of claims."""
+    """Apply one log record of claims as a reader does."""
     table = claims.ClaimTable()
     claims.begin(table, 1, 0.0)
     decoded = claims.decode(json.loads(json.dumps(claims.encode(group))))
@@ -201,7 +201,7 @@
 
 
 def make_bills(count: int) -> list[billing.Bill]:
-    """Bills of completions."""
+    """Make bills of completions."""
     return [
         billing.Bill(
             customer=f"customer-{number % 40}",
@@ -217,7 +217,7 @@
 
 
 def measure_bills() -> typing.Iterator[fitting.Line]:
-    """What bills cost their node and the reader of the ledger."""
+    """Measure what bills cost the log and the entry VM that makes them."""
     sizes = (1_000, 4_000, 16_000)
     made = {n: make_bills(n) for n in sizes}
     yield fitting.measure(
@@ -239,19 +239,21 @@
         "kB",
         "bill",
         sizes,
-        lambda n: fitting.weigh_kb(lambda: {b.key: b for b in make_bills(n)}),
+        lambda n: fitting.measure_kb(
+            lambda: {b.key: b for b in make_bills(n)}
+        ),
     )
 
 
 def encode_bills(bills: list[billing.Bill]) -> None:
-    """A copy to a buddy for each bill, and one append for all."""
+    """Encode a copy of each bill for a peer, and one append of all."""
     for bill in bills:
         cbor2.dumps(["bill.hold", billing.encode(bill), 1, 0])
     json.dumps([billing.encode(bill) for bill in bills])
 
 
 def measure_placement() -> typing.Iterator[fitting.Line]:
-    """What a decision and an index cost by number of endpoints."""
+    """Measure a placement decision and an index by number of endpoints."""
     sizes = (50, 200, 790)
     draw = random.Random(1).randrange
     yield fitting.measure(
@@ -266,7 +268,7 @@
         "kB",
         "endpoint that can serve",
         sizes,
-        lambda n: fitting.weigh_kb(lambda: make_candidates(n)),
+        lambda n: fitting.measure_kb(lambda: make_candidates(n)),
     )
 
 
@@ -274,7 +276,7 @@
 
 
 def make_candidates(count: int) -> placement.Candidates:
-    """An index of endpoints that can all serve."""
+    """Make an index of endpoints that can all serve the version."""
     return placement.Candidates.from_views(
         placement.EndpointView(
             name=f"endpoint-{number}", failure_domain=f"domain-{number % 5}"
@@ -284,14 +286,14 @@
 
 
 def place_many(count: int, draw: typing.Callable[[int], int]) -> None:
-    """A thousand decisions."""
+    """Make a thousand placement decisions."""
     found = _CANDIDATES.setdefault(count, make_candidates(count))
     for number in range(1000):
         placement.choose(found, number * 7919, "domain-1", 0.0, draw)
 
 
 def measure_evidence() -> typing.Iterator[fitting.Line]:
-    """What merged counters cost."""
+    """Measure what merged counters cost."""
     sizes = (1_000, 4_000, 16_000)
     yield fitting.measure(
         "evidence: merge a cell",
@@ -305,12 +307,12 @@
         "kB",
         "cell",
         sizes,
-        lambda n: fitting.weigh_kb(lambda: merge_cells(n)),
+        lambda n: fitting.measure_kb(lambda: merge_cells(n)),
     )
 
 
 def merge_cells(count: int) -> evidence.Evidence:
-    """Cells of many origins about a few hundred keys."""
+    """Merge cells of many origins for a few hundred keys."""
     known = evidence.Evidence()
     for number in range(count):
         key = evidence.Key(
@@ -321,15 +323,15 @@
     return known
 
 
-def measure_rest() -> typing.Iterator[fitting.Line]:
-    """Histograms and signed tokens."""
+def measure_metrics_and_tokens() -> typing.Iterator[fitting.Line]:
+    """Measure histograms and signed tokens."""
     sizes = (50, 100, 200)
     yield fitting.measure(
         "metrics: memory of histograms",
         "kB",
         "histogram",
         sizes,
-        lambda n: fitting.weigh_kb(lambda: make_histograms(n)),
+        lambda n: fitting.measure_kb(lambda: make_histograms(n)),
     )
     signer = tokens.Signer(("a-key-of-32-characters-0123456789",))
     yield fitting.measure(
@@ -342,7 +344,7 @@
 
 
 def make_histograms(count: int) -> metrics.Metrics:
-    """Histograms of so many customers."""
+    """Make histograms of ``count`` customers."""
     kept = metrics.Metrics(clock.Clock())
     for number in range(count):
         kept.observe(metrics.Metric.LATENCY, f"c{number}", "t", 5)
@@ -370,12 +372,12 @@
     measure_bills,
     measure_placement,
     measure_evidence,
-    measure_rest,
+    measure_metrics_and_tokens,
 )
 
 
 def main() -> None:
-    """Measure everything and write the table."""
+    """Run all measurements and write the table."""
     lines = [line for measured in MEASUREMENTS for line in measured()]
     table = fitting.format_lines(lines)
     print(table)
--- a/bench/fitting.py
+++ b/bench/fitting.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, with their error."""
+"""Measures values at several sizes and fits straight lines to them."""
 
 import gc
 import time
@@ -13,9 +13,9 @@
 
 @attrs.frozen
 class Line:
-    """y = base + slope * x, in ``unit``; ``error`` is the worst miss.
+    """The fit y = base + slope * x; y is in ``unit``, x counts ``per``.
 
-    ``error`` is a share of the largest measured value.
+    ``error`` is the largest residual as a share of the largest value.
     """
 
     name: str
@@ -34,7 +34,7 @@
 def fit(
     name: str, unit: str, per: str, points: list[tuple[float, float]]
 ) -> Line:
-    """Least squares through ``points``."""
+    """Fit a line to ``points`` by least squares."""
     sizes = numpy.array([point[0] for point in points])
     values = numpy.array([point[1] for point in points])
     slope, base = numpy.polyfit(sizes, values, 1)
@@ -46,9 +46,9 @@
 
 
 def time_ms(action: typing.Callable[[], object]) -> float:
-    """The least processor time of a few runs, in ms.
+    """Measure the CPU time of an action in ms, as the minimum of some runs.
 
-    The least, since whatever else the machine does can only add to it.
+    The minimum, since other load on the machine can only add to the time.
     """
     best = float("inf")
     for _ in range(REPEATS):
@@ -58,8 +58,8 @@
     return best
 
 
-def weigh_kb(build: typing.Callable[[], object]) -> float:
-    """Memory that the built value holds on to, in kB."""
+def measure_kb(build: typing.Callable[[], object]) -> float:
+    """Measure the memory that a built value retains, in kB."""
     gc.collect()
     tracemalloc.start()
     kept = build()
@@ -81,7 +81,7 @@
 
 
 def format_lines(lines: typing.Iterable[Line]) -> str:
-    """A table of lines in Markdown."""
+    """Format fitted lines as a Markdown table."""
     rows = [
         "| what | sizes | base | slope | worst miss |",
         "|---|---|---|---|---|",
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,7 +1,8 @@
-"""``./build.sh bench path``: what one entry VM adds, relays and holds.
+"""Measures the added latency, throughput and memory of one entry VM.
 
-Entry VMs, engines and the load generator are processes of their own. Two
-entry VMs run, as a bill needs a second one to hold its copy; one is loaded.
+``./build.sh bench path`` runs entry VMs, engines and the load generator as
+separate processes. There are two entry VMs, since a bill needs a second one
+for its copy; only the first gets load.
 """
 
 import json
@@ -21,8 +22,8 @@
 
 RESULTS = pathlib.Path("bench/results/path.md")
 ENGINES = 4
-TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
-BARE = """
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+BARE_PROCESS_CODE = """
 import absl.logging, attrs, cattrs, cbor2, fire, hdrh.histogram, httpcore
 import hypercorn.trio, itsdangerous, jinja2, starlette.applications, statsd
 import trio, websockets.trio.client, websockets.trio.server, yaml, time
@@ -31,9 +32,9 @@
 """
 
 
-# How tokens arrive, streams at once, answers on each connection, and what
-# the engines are asked for.
-RELAYED = (
+# How tokens arrive, concurrent streams, answers per connection, and the
+# message that tells the engine what to send.
+RELAY_LOADS = (
     ("without a pause", 32, 4, "tokens=4000 gap_ms=0"),
     ("every 37 ms", 50, 1, "tokens=200 gap_ms=37"),
     ("every 37 ms", 200, 1, "tokens=200 gap_ms=37"),
@@ -43,7 +44,7 @@
 
 @attrs.define
 class BenchDeployment(deployment.Deployment):
-    """Two entry VMs before engines that cost little."""
+    """Two entry VMs with engines that use little CPU time."""
 
     plan: deployment.Plan = attrs.field(
         factory=lambda: streaming.make_plan(entry_vms=2)
@@ -61,7 +62,7 @@
             loopback.wait_until_listening(self.addresses[name])
 
     def start_entry_vm(self, vm: deployment.EntryProcess) -> None:
-        """Start one entry VM, whose limits do not hold the load back."""
+        """Start one entry VM without effective concurrency limits."""
         path = self.folder / f"{vm.name}.yaml"
         path.write_text(yaml.safe_dump(self.make_settings(vm)))
         vm.process = self.spawn(
@@ -72,9 +73,9 @@
 
 def generate(mode: str, **options: object) -> dict:
     """Run the load generator and return what it measured."""
-    words = [f"--{name}={value}" for name, value in options.items()]
+    arguments = [f"--{name}={value}" for name, value in options.items()]
     done = subprocess.run(
-        [sys.executable, "-m", "bench.path_load", mode, *words],
+        [sys.executable, "-m", "bench.path_load", mode, *arguments],
         capture_output=True,
         text=True,
         timeout=300,
@@ -86,21 +87,21 @@
 
 
 def read_cpu_s(pid: int) -> float:
-    """Processor seconds that a process has used."""
+    """Read the CPU time of a process, in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2]
-    return sum(int(each) for each in fields.split()[11:13]) / TICKS_A_SECOND
+    return sum(int(each) for each in fields.split()[11:13]) / TICKS_PER_S
 
 
 def read_rss_mb(pid: int) -> float:
-    """Resident memory of a process."""
+    """Read the resident memory of a process, in MB."""
     status = pathlib.Path(f"/proc/{pid}/status").read_text()
     return int(status.partition("VmRSS:")[2].split()[0]) / 1024
 
 
 def measure_bare_mb() -> float:
-    """Resident memory of an interpreter that has only loaded libraries."""
+    """Measure the resident memory of an interpreter with the libraries."""
     with subprocess.Popen(
-        [sys.executable, "-c", BARE], stdout=subprocess.PIPE
+        [sys.executable, "-c", BARE_PROCESS_CODE], stdout=subprocess.PIPE
     ) as process:
         assert process.stdout is not None
         process.stdout.readline()
@@ -110,13 +111,13 @@
 
 
 def find_percentile(values: list[float], percent: float) -> float:
-    """A percentile by rank."""
+    """Return a percentile by nearest rank."""
     ranked = sorted(values)
     return ranked[min(len(ranked) - 1, int(len(ranked) * percent / 100))]
 
 
 def measure_latency(running: BenchDeployment, count: int) -> list[str]:
-    """Added latency, as lines of a table."""
+    """Measure the added latency; return the lines of a table."""
     timings = generate(
         "compare",
         engine=running.addresses["matchers-0"],
@@ -147,7 +148,7 @@
 def measure_relay(
     running: BenchDeployment, name: str, count: int, repeat: int, text: str
 ) -> str:
-    """One line: tokens a second of wall time and of processor time."""
+    """Measure tokens per second of wall and CPU time; return a table row."""
     process = running.entry_vms[0].process
     assert process is not None
     before = read_cpu_s(process.pid)
@@ -168,7 +169,7 @@
 
 
 def measure_memory(running: BenchDeployment, streams: int) -> list[str]:
-    """Resident memory at idle and with open streams."""
+    """Measure resident memory when idle and with open streams."""
     process = running.entry_vms[0].process
     assert process is not None
     bare = measure_bare_mb()
@@ -184,21 +185,21 @@
         stdout=subprocess.DEVNULL,
         env={**os.environ, "PYTHONPATH": "src:."},
     )
-    most = 0.0
+    peak_mb = 0.0
     while load.poll() is None:
-        most = max(most, read_rss_mb(process.pid))
+        peak_mb = max(peak_mb, read_rss_mb(process.pid))
         time.sleep(0.2)
     return [
         "| state | resident MB | over bare |",
         "| --- | --- | --- |",
         f"| interpreter with libraries | {bare:.1f} | |",
         f"| idle entry VM | {idle:.1f} | {idle - bare:+.1f} |",
-        f"| {streams} open streams | {most:.1f} | {most - bare:+.1f} |",
+        f"| {streams} open streams | {peak_mb:.1f} | {peak_mb - bare:+.1f} |",
     ]
 
 
 def measure(requests: int, streams: int) -> list[str]:
-    """All tables."""
+    """Run all measurements; return the lines of the results page."""
     with BenchDeployment() as running:
         time.sleep(2.0)
         memory = measure_memory(running, streams)
@@ -211,7 +212,7 @@
             "| --- | --- | --- | --- | --- | --- | --- |",
             *(
                 measure_relay(running, name, count, repeat, text)
-                for name, count, repeat, text in RELAYED
+                for name, count, repeat, text in RELAY_LOADS
             ),
         ]
     return [
--- a/bench/path_daemon.py
+++ b/bench/path_daemon.py
@@ -1,8 +1,8 @@
-"""The daemon with open concurrency limits.
+"""Runs the daemon without concurrency limits, for the path benchmark.
 
-The limits start low and are learned, which takes a while and refuses a
-sudden load, as it should. The path benchmark measures what the path costs,
-not when work is refused.
+The limits start low and adapt, so that a sudden load is refused at first.
+The benchmark measures the cost per request and not when requests are
+refused.
 """
 
 from carawayward import daemon
@@ -10,7 +10,7 @@
 
 
 def has_room(limit: limits.Limit, in_flight: int) -> bool:
-    """Send whatever comes."""
+    """Admit every request."""
     return True
 
 
--- a/bench/path_engine.py
+++ b/bench/path_engine.py
@@ -1,8 +1,8 @@
-"""An engine stand-in that costs little, so that the entry VM is measured.
+"""A cheap engine stand-in, so that the entry VM dominates the measurement.
 
-It speaks as much HTTP as the benchmark needs. The last message says what
-to do: "tokens=N gap_ms=G burst=B" sends N tokens, B to a piece, with G
-milliseconds between pieces.
+It implements only the HTTP that the benchmark needs. The last message of a
+request controls the answer: "tokens=N gap_ms=G burst=B" sends N tokens, B
+per chunk, with G milliseconds between chunks.
 """
 
 import functools
@@ -19,20 +19,20 @@
 )
 
 
-def make_reply(body: dict) -> bytes:
-    """A whole JSON answer."""
+def make_response(body: dict) -> bytes:
+    """Encode a complete response with a JSON body."""
     text = json.dumps(body).encode()
     size = len(text)
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (size, text)
 
 
 def make_chunk(data: bytes) -> bytes:
-    """One piece of a chunked body."""
+    """Encode one chunk of a chunked body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def encode_tokens(first: int, count: int) -> bytes:
-    """Events of some tokens."""
+    """Encode ``count`` tokens as events."""
     return b"".join(
         b'data: {"offset": %d, "text": "%s"}\n\n' % (index, TOKEN.encode())
         for index in range(first, first + count)
@@ -42,7 +42,10 @@
 async def read_request(
     stream: trio.SocketStream, rest: bytes
 ) -> tuple[bytes, bytes, bytes] | None:
-    """Head, body and what follows them; None at the end."""
+    """Read a request: its head, its body and the bytes after it.
+
+    ``rest`` has the bytes already received. Returns None at the end.
+    """
     while b"\r\n\r\n" not in rest:
         data = await stream.receive_some(65_536)
         if not data:
@@ -65,8 +68,8 @@
     await stream.send_all(HEAD)
     due = trio.current_time()
     for first in range(0, count, burst):
-        piece = encode_tokens(first, min(burst, count - first))
-        await stream.send_all(make_chunk(piece))
+        chunk = encode_tokens(first, min(burst, count - first))
+        await stream.send_all(make_chunk(chunk))
         if gap_s:
             due += gap_s
             await trio.sleep_until(due)
@@ -91,7 +94,7 @@
             if head.startswith(b"POST /v1/runs"):
                 await run(stream, body)
             else:
-                await stream.send_all(make_reply(report))
+                await stream.send_all(make_response(report))
     except trio.BrokenResourceError:
         return
     finally:
@@ -99,7 +102,7 @@
 
 
 def main(port: int, versions: str, **_: object) -> None:
-    """Serve on a loopback port; versions by commas."""
+    """Serve on a loopback port; ``versions`` is comma-separated."""
     names = str(versions).split(",")
     handler = functools.partial(serve, versions=names)
     trio.run(
--- a/bench/path_load.py
+++ b/bench/path_load.py
@@ -1,4 +1,4 @@
-"""The load generator of the path benchmark; it prints JSON."""
+"""The load generator of the path benchmark; prints its results as JSON."""
 
 import json
 import re
@@ -15,7 +15,7 @@
 
 @attrs.define
 class Timing:
-    """One answer: milliseconds to the first token and to the end."""
+    """The time to the first token and to the end of one answer."""
 
     first_ms: float
     whole_ms: float
@@ -24,7 +24,7 @@
 
 
 def make_request(direct: bool, text: str, number: int) -> bytes:
-    """The bytes of a request to an engine or to an entry VM."""
+    """Encode a request: to an engine if ``direct``, else to an entry VM."""
     messages = [{"role": "user", "content": text}]
     if direct:
         path = "/v1/runs"
@@ -46,8 +46,8 @@
     ).encode()
 
 
-async def ask(stream: trio.SocketStream, request: bytes) -> Timing:
-    """Send a request and read its answer to the end of the body."""
+async def measure_request(stream: trio.SocketStream, request: bytes) -> Timing:
+    """Send a request and time its answer up to the end of the body."""
     began = time.perf_counter()
     await stream.send_all(request)
     first = 0.0
@@ -56,7 +56,7 @@
     while not tail.endswith(b"0\r\n\r\n"):
         data = await stream.receive_some(262_144)
         if not data:
-            raise RuntimeError(f"cut off: {tail!r}")
+            raise RuntimeError(f"connection closed in the answer: {tail!r}")
         if not first and (b'"text"' in data or b'"content"' in data):
             first = time.perf_counter()
         pieces += data.count(b"data: ")
@@ -64,7 +64,7 @@
     ended = time.perf_counter()
     found = re.search(rb'"(?:completion|output)_tokens": (\d+)', tail)
     if found is None:
-        raise RuntimeError(f"no whole answer: {tail!r}")
+        raise RuntimeError(f"answer without a token count: {tail!r}")
     return Timing(
         (first - began) * 1000,
         (ended - began) * 1000,
@@ -82,13 +82,16 @@
 async def compare(
     engine: str, entry: str, count: int, gap_ms: float, text: str
 ) -> dict:
-    """Alternate direct and routed requests over kept connections."""
+    """Alternate direct and routed requests over persistent connections.
+
+    The first 20 timings of each kind are warm-up and left out.
+    """
     streams = {True: await connect(engine), False: await connect(entry)}
     timings: dict[bool, list[Timing]] = {True: [], False: []}
     for number in range(2 * count):
         direct = number % 2 == 0
         request = make_request(direct, text, number)
-        timings[direct].append(await ask(streams[direct], request))
+        timings[direct].append(await measure_request(streams[direct], request))
         await trio.sleep(gap_ms / 1000)
     return {
         kind: [attrs.astuple(timing) for timing in timings[direct][20:]]
@@ -97,7 +100,7 @@
 
 
 async def stream_many(entry: str, count: int, repeat: int, text: str) -> dict:
-    """Read many streams at once, each connection ``repeat`` times."""
+    """Read streams over ``count`` connections, ``repeat`` on each."""
     timings: list[Timing] = []
     began = time.perf_counter()
 
@@ -105,7 +108,7 @@
         stream = await connect(entry)
         for turn in range(repeat):
             request = make_request(False, text, number * repeat + turn)
-            timings.append(await ask(stream, request))
+            timings.append(await measure_request(stream, request))
         await stream.aclose()
 
     async with trio.open_nursery() as nursery:
@@ -121,7 +124,7 @@
 
 
 def main(mode: str, **options: object) -> None:
-    """Run ``compare`` or ``stream_many`` and print what was measured."""
+    """Run ``compare`` or ``stream_many`` and print the result."""
     modes = {"compare": compare, "stream_many": stream_many}
 
     async def run() -> dict:
--- a/bench/probes.py
+++ b/bench/probes.py
@@ -1,7 +1,7 @@
-"""What watching endpoints costs a node: ``./build.sh bench probes``.
+"""Measures what probing endpoints costs an entry VM.
 
-One entry VM with no load, beside more and more endpoints; processor time
-over a fixed while, read from the kernel's count for the process.
+``./build.sh bench probes`` runs one idle entry VM with increasing numbers
+of endpoints and reads its CPU time over a fixed period from /proc.
 """
 
 import os
@@ -20,14 +20,14 @@
 
 
 def read_cpu_ms(pid: int) -> float:
-    """Processor time that a process has used, in ms."""
+    """Read the CPU time of a process, in ms."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2]
     user, system = fields.split()[11:13]
     return (int(user) + int(system)) * 1000 / os.sysconf("SC_CLK_TCK")
 
 
 def measure_share(endpoints: int) -> float:
-    """Percent of a core that an idle node uses beside so many endpoints."""
+    """Measure the percentage of a core that an idle entry VM uses."""
     pool = deployment.Pool(
         name="matchers", count=endpoints, versions=("sorter-3",)
     )
@@ -43,7 +43,7 @@
 
 
 def main() -> None:
-    """Measure at each size and write the line."""
+    """Measure at each size and write the fitted line."""
     line = fitting.measure(
         "idle node: share of a core",
         "%",
--- a/bench/rig_node.py
+++ b/bench/rig_node.py
@@ -1,4 +1,4 @@
-"""Entry VMs of the rig: the daemon's decisions, or a baseline's."""
+"""Simulated entry VMs, with the product's decisions or a baseline's."""
 
 import random
 import typing
@@ -15,27 +15,31 @@
 from carawayward.decisions import suspicion
 
 MAX_ATTEMPTS = 3
-PLACES = 400
-UNIT_BASE = 16.0
+QUEUE_LIMIT = 400
+BASE_COST_TOKENS = 16.0
 WALL_MS = 1_700_000_000_000
 
 
 @attrs.frozen
 class Policy:
-    """``chooser`` names a baseline or is "own"; ``off`` names parts."""
+    """The decisions that entry VMs use.
+
+    ``chooser`` is the name of a baseline or "own" for the product's; ``off``
+    names parts of the product's decisions that are switched off.
+    """
 
     name: str
     chooser: str = "own"
     off: frozenset[str] = frozenset()
 
     def has(self, part: str) -> bool:
-        """Whether a part of the own policy is on."""
+        """Whether the product's decisions are used and a part is on."""
         return self.chooser == "own" and part not in self.off
 
 
 @attrs.define(eq=False)
 class Waiting:
-    """A queued job with what its item needs."""
+    """A queued job with its item in the queue."""
 
     job: rig_world.Job
     item: queueing.WaitingRequest
@@ -43,7 +47,7 @@
 
 @attrs.define(eq=False, kw_only=True)
 class Node:
-    """One entry VM."""
+    """A simulated entry VM."""
 
     policy: Policy
     loop: rig_world.Loop
@@ -51,26 +55,28 @@
     engines: dict[str, rig_world.Engine]
     draw: random.Random
     ended: typing.Callable[[rig_world.Job], None]
-    book: suspicion.SuspectRecords
+    suspects: suspicion.SuspectRecords
     weights: float
     entry_vms: int
     is_cut: typing.Callable[[str, str], bool]
-    raw: dict[str, float] = attrs.field(factory=dict)
+    reported_loads: dict[str, float] = attrs.field(factory=dict)
     views: dict[str, placement.EndpointView] = attrs.field(factory=dict)
     candidates: placement.Candidates = attrs.field(init=False)
     queue: queueing.FairQueue = attrs.field(factory=queueing.FairQueue)
-    times: admission.ServiceTimes = attrs.field(factory=admission.ServiceTimes)
-    promises: admission.RetrySchedule = attrs.field(
+    service_times: admission.ServiceTimes = attrs.field(
+        factory=admission.ServiceTimes
+    )
+    retry_schedule: admission.RetrySchedule = attrs.field(
         factory=admission.RetrySchedule
     )
     retries: retry.Budget = attrs.field(factory=retry.Budget)
     hedges: retry.Budget = attrs.field(
         factory=lambda: retry.Budget(retry.HEDGE_SHARE)
     )
-    first_times: retry.TtftEstimate = attrs.field(factory=retry.TtftEstimate)
-    side: list[rig_world.Job] = attrs.field(factory=list)
-    turn: int = 0
-    runs_begun: int = 0
+    ttft_estimate: retry.TtftEstimate = attrs.field(factory=retry.TtftEstimate)
+    retrying: list[rig_world.Job] = attrs.field(factory=list)
+    round_robin_index: int = 0
+    runs_started: int = 0
     live: dict[rig_world.Job, list[rig_world.Run]] = attrs.field(factory=dict)
     items: dict[rig_world.Job, queueing.WaitingRequest] = attrs.field(
         factory=dict
@@ -87,15 +93,18 @@
             self.views[engine.name] = view
         self.candidates = placement.Candidates.from_views(self.views.values())
 
-    def take_report(self, name: str, load: float) -> None:
-        """Take an endpoint's report; baselines believe it as it is."""
+    def record_report(self, name: str, load: float) -> None:
+        """Record an endpoint's load report.
+
+        Baselines use the reported load minus their own runs directly.
+        """
         view = self.views[name]
-        self.raw[name] = max(0.0, load - view.in_flight)
+        self.reported_loads[name] = max(0.0, load - view.in_flight)
         if self.policy.has("reports"):
             placement.record_report(view, load)
 
     def submit(self, job: rig_world.Job) -> None:
-        """Take a caller's request."""
+        """Accept a caller's request: start, queue or refuse it."""
         self.loop.at(job.deadline, lambda: self._expire(job))
         if self.policy.chooser != "own":
             self._start(job, self._choose_baseline(job))
@@ -103,11 +112,11 @@
         if self._refuse_convicted(job):
             return
         name = job.customer if self.policy.has("fairness") else "all"
-        work = admission.estimate_service_ms(self.times, job.customer)
+        work = admission.estimate_service_ms(self.service_times, job.customer)
         latest = job.deadline
         if self.policy.has("hopeless"):
             latest = admission.find_latest_start(
-                self.times, job.customer, self.loop.now, job.deadline
+                self.service_times, job.customer, self.loop.now, job.deadline
             )
         item = queueing.WaitingRequest(
             customer=name,
@@ -129,20 +138,22 @@
             flow = self.queue.flows[name]
             flow.tag = max(flow.tag, self.queue.virtual)
         if self.policy.has("hopeless"):
-            self.loop.at(latest, lambda: self._drop_hopeless(job))
-        self.pump()
+            self.loop.at(latest, lambda: self._drop_overdue(job))
+        self.start_waiting()
 
     def _decide(
         self, item: queueing.WaitingRequest
     ) -> admission.Refusal | None:
         slots = sum(view.limit.value for view in self.views.values())
-        promises = self.promises
+        retry_schedule = self.retry_schedule
         if not self.policy.has("promises"):
-            promises = admission.RetrySchedule()
+            retry_schedule = admission.RetrySchedule()
         weights = self.weights if self.policy.has("fairness") else 1.0
-        places = admission.compute_queue_limit(PLACES, item.weight, weights)
+        places = admission.compute_queue_limit(
+            QUEUE_LIMIT, item.weight, weights
+        )
         return admission.check_admission(
-            self.queue, item, self.loop.now, slots, places, promises
+            self.queue, item, self.loop.now, slots, places, retry_schedule
         )
 
     def _refuse_convicted(self, job: rig_world.Job) -> bool:
@@ -150,20 +161,20 @@
         guilty = (
             job.killer
             and self.policy.has("suspects")
-            and suspicion.is_convicted(self.book, "killer", wall_ms)
+            and suspicion.is_convicted(self.suspects, "killer", wall_ms)
         )
         if guilty:
             self._finish(job, "convicted")
         return guilty
 
-    def pump(self) -> None:
-        """Start what can be started, what is tried again first."""
-        for job in [job for job in self.side if not job.outcome]:
+    def start_waiting(self) -> None:
+        """Start as many waiting jobs as possible, retries first."""
+        for job in [job for job in self.retrying if not job.outcome]:
             view = self._choose_own(job, frozenset())
             if view is not None:
-                self.side.remove(job)
+                self.retrying.remove(job)
                 self._start(job, view)
-        self.side = [job for job in self.side if not job.outcome]
+        self.retrying = [job for job in self.retrying if not job.outcome]
         while self.queue.count:
             for item in queueing.list_heads(self.queue):
                 view = self._choose_own(item.payload, frozenset())
@@ -182,12 +193,12 @@
             key = placement.hash_key(f"prefix {job.prefix}")
         home = self.failure_domain if self.policy.has("local") else ""
         if key is not None and not self.policy.has("bound"):
-            view = self._find_unbounded(key, job.excluded | excluded)
+            view = self._choose_unbounded(key, job.excluded | excluded)
             if view is not None:
                 return view
         choose = placement.choose
         if not self.policy.has("two choices"):
-            choose = choose_least
+            choose = choose_lowest_cost
         return choose(
             self.candidates,
             key,
@@ -197,10 +208,10 @@
             job.excluded | excluded,
         )
 
-    def _find_unbounded(
+    def _choose_unbounded(
         self, key: int, excluded: frozenset[str]
     ) -> placement.EndpointView | None:
-        """The ring's first open endpoint, however busy."""
+        """Choose the ring's first available endpoint, whatever its load."""
         most = placement.RING_WALK
         for view in placement.walk_ring(self.candidates, key, most):
             if placement.is_available(view, self.loop.now, excluded):
@@ -213,16 +224,19 @@
             for view in self.candidates.views
             if view.name not in job.excluded
         ] or self.candidates.views
-        self.turn += 1
+        self.round_robin_index += 1
         if self.policy.chooser == "round robin":
-            return views[self.turn % len(views)]
+            return views[self.round_robin_index % len(views)]
         if self.policy.chooser == "two choices":
             views = self.draw.choices(views, k=2)
         elif self.policy.chooser == "random":
             views = self.draw.choices(views)
         return min(
             views,
-            key=lambda v: (v.in_flight + self.raw.get(v.name, 0.0), v.name),
+            key=lambda v: (
+                v.in_flight + self.reported_loads.get(v.name, 0.0),
+                v.name,
+            ),
         )
 
     def _start(self, job: rig_world.Job, view: placement.EndpointView) -> None:
@@ -230,7 +244,7 @@
         if self.policy.has("ejection"):
             health.begin_probe(view.health)
         job.attempts += 1
-        self.runs_begun += 1
+        self.runs_started += 1
         engine = self.engines[view.name]
         run = rig_world.Run(
             job, engine, self._end, self._record_first, self.loop.now
@@ -238,15 +252,15 @@
         self.live.setdefault(job, []).append(run)
         if not self.is_cut(self.failure_domain, engine.failure_domain):
             engine.begin(run)
-        delay = retry.compute_hedge_delay(self.first_times)
+        delay = retry.compute_hedge_delay(self.ttft_estimate)
         first = len(self.live.get(job, ())) == 1
         if self.policy.has("hedging") and delay is not None and first:
             self.loop.at(self.loop.now + delay, lambda: self._hedge(job, run))
 
     def _record_first(self, run: rig_world.Run) -> None:
-        """The first text of a run: it is kept and the others cancelled."""
+        """Record a run's first token; cancel the other runs of its job."""
         took = self.loop.now - run.began
-        retry.record_ttft(self.first_times, took)
+        retry.record_ttft(self.ttft_estimate, took)
         self._stop_others(run.job, run)
 
     def _hedge(self, job: rig_world.Job, first: rig_world.Run) -> None:
@@ -258,7 +272,7 @@
 
     def _end(self, run: rig_world.Run, how: str) -> None:
         job, view = run.job, self.views[run.engine.name]
-        self._vacate(run)
+        self._remove_run(run)
         if how == "answered":
             self._record_answer(run, view)
             if not job.outcome:
@@ -268,13 +282,13 @@
             self._record_failure(run, view, how)
             if not job.outcome and not self.live.get(job):
                 self._retry(job, view.name, how)
-        self.pump()
+        self.start_waiting()
 
     def _record_answer(
         self, run: rig_world.Run, view: placement.EndpointView
     ) -> None:
         took = self.loop.now - run.began
-        unit = took / (run.job.tokens + UNIT_BASE)
+        unit = took / (run.job.tokens + BASE_COST_TOKENS)
         if self.policy.has("limits"):
             if self.policy.has("part"):
                 others = view.other_load
@@ -287,8 +301,10 @@
                 "limits"
             ):
                 limits.restart(view.limit, self.entry_vms)
-            self._judge(view)
-        admission.record_service_time(self.times, run.job.customer, took)
+            self._eject_if_outlier(view)
+        admission.record_service_time(
+            self.service_times, run.job.customer, took
+        )
         retry.record_success(self.retries)
         retry.record_success(self.hedges)
 
@@ -299,12 +315,12 @@
             crash = suspicion.Crash(
                 "killer", view.name, WALL_MS + int(self.loop.now), "r"
             )
-            suspicion.record_crash(self.book, crash)
+            suspicion.record_crash(self.suspects, crash)
         if self.policy.has("ejection"):
             health.record_failure(view.health)
-            self._judge(view)
+            self._eject_if_outlier(view)
 
-    def _judge(self, view: placement.EndpointView) -> None:
+    def _eject_if_outlier(self, view: placement.EndpointView) -> None:
         pool = [other.health for other in self.candidates.views]
         health.eject_if_outlier(view.health, pool, self.loop.now)
 
@@ -321,10 +337,10 @@
         if self.policy.chooser != "own":
             self._start(job, self._choose_baseline(job))
             return
-        self.side.append(job)
-        self.pump()
+        self.retrying.append(job)
+        self.start_waiting()
 
-    def _vacate(self, run: rig_world.Run) -> None:
+    def _remove_run(self, run: rig_world.Run) -> None:
         self.views[run.engine.name].in_flight -= 1
         live = self.live[run.job]
         live.remove(run)
@@ -338,20 +354,20 @@
             if run is winner:
                 continue
             run.engine.cancel(run)
-            self._vacate(run)
+            self._remove_run(run)
             if self.policy.has("ejection"):
                 view = self.views[run.engine.name]
                 health.record_failure(view.health)
-                self._judge(view)
+                self._eject_if_outlier(view)
 
-    def _drop_hopeless(self, job: rig_world.Job) -> None:
+    def _drop_overdue(self, job: rig_world.Job) -> None:
         item = self.items.get(job)
         if item is not None and item.waiting:
             queueing.remove(self.queue, item)
             self._finish(job, "dropped")
 
     def _expire(self, job: rig_world.Job) -> None:
-        """The caller's deadline: the request ends, whatever it does."""
+        """End a request at its caller's deadline, in whatever state it is."""
         if job.outcome:
             return
         item = self.items.get(job)
@@ -359,22 +375,27 @@
             queueing.remove(self.queue, item)
         for run in self.live.get(job, ()):
             took = self.loop.now - run.began
-            admission.record_service_time(self.times, job.customer, took)
+            admission.record_service_time(
+                self.service_times, job.customer, took
+            )
         self._stop_others(job, None)
         self._finish(job, "late")
-        self.pump()
+        self.start_waiting()
 
     def _finish(
-        self, job: rig_world.Job, outcome: str, told_ms: float | None = None
+        self,
+        job: rig_world.Job,
+        outcome: str,
+        retry_after_ms: float | None = None,
     ) -> None:
         job.outcome = outcome
         job.ended = self.loop.now
-        job.told_ms = told_ms
+        job.retry_after_ms = retry_after_ms
         self.items.pop(job, None)
         self.ended(job)
 
 
-def choose_least(
+def choose_lowest_cost(
     candidates: placement.Candidates,
     key: int | None,
     failure_domain: str,
@@ -382,7 +403,7 @@
     draw: placement.Draw,
     excluded: frozenset[str] = frozenset(),
 ) -> placement.EndpointView | None:
-    """Own placement without two choices: the lowest score of all."""
+    """Place by the lowest cost of all endpoints, without two choices."""
     placement.refresh_means(candidates)
     if key is not None:
         home = placement.find_affine_endpoint(
--- a/bench/rig_scenarios.py
+++ b/bench/rig_scenarios.py
@@ -1,4 +1,4 @@
-"""The loads that the decisions are put through, and what callers saw."""
+"""Simulates the decisions under synthetic loads and measures the results."""
 
 import random
 
@@ -11,21 +11,32 @@
 DOMAINS = ("a", "b", "c", "d")
 ENGINES = 10
 NODES = 8
-WARM_MS = 4_000.0
+WARMUP_MS = 4_000.0
 END_MS = 20_000.0
 DRAIN_MS = 8_000.0
 DEADLINE_MS = 3_000.0
 MEAN_TOKENS = 50.0
-SMALL_OF_SHARE = 0.7
+SMALL_DEMAND_PART = 0.7
 CUSTOMERS = [("large-0", 4.0), ("large-1", 4.0)] + [
     (f"small-{n}", 1.0) for n in range(8)
 ]
-WEIGHTS = sum(weight for _, weight in CUSTOMERS)
+TOTAL_WEIGHT = sum(weight for _, weight in CUSTOMERS)
 
 
 @attrs.frozen(kw_only=True)
 class Scenario:
-    """A load. ``load`` is demand over capacity; ``faults`` by engine."""
+    """A synthetic load.
+
+    ``load`` is demand over capacity. ``burst`` compresses the large
+    customers' requests of each second by this factor; ``skew`` gives nine
+    tenths of their demand to one of them. ``mixed`` makes one answer in ten
+    about ten times as long. ``uneven`` sends half of the requests to one
+    entry VM and spreads the rest. ``cut`` partitions one failure domain.
+    ``comebacks`` is the share of refused callers that retry when told to;
+    ``impatient`` callers retry failures unasked. ``urgent`` mixes short and
+    long deadlines. ``faults`` has (fault, slowdown) by engine, in force
+    during ``fault_ms``.
+    """
 
     name: str
     load: float = 0.7
@@ -48,7 +59,7 @@
 
 @attrs.define(kw_only=True)
 class Result:
-    """What callers saw of one policy under one load."""
+    """The results of one policy under one load, as callers see them."""
 
     scenario: str
     policy: str
@@ -68,20 +79,20 @@
 
 @attrs.define(eq=False)
 class Trial:
-    """One policy under one load."""
+    """A simulation of one policy under one load."""
 
     scenario: Scenario
     policy: rig_node.Policy
     loop: rig_world.Loop = attrs.field(factory=rig_world.Loop)
     jobs: list[rig_world.Job] = attrs.field(factory=list)
-    early: list[rig_world.Job] = attrs.field(factory=list)
+    warmup_jobs: list[rig_world.Job] = attrs.field(factory=list)
     engines: list[rig_world.Engine] = attrs.field(factory=list)
     nodes: list[rig_node.Node] = attrs.field(factory=list)
     arrivals: random.Random = attrs.field(factory=random.Random)
     prefixes: list[int] = attrs.field(factory=list)
 
     def run(self) -> Result:
-        """Let the load come and go, and look at the outcome."""
+        """Run the simulation and return its results."""
         self._build()
         self.loop.run(END_MS + DRAIN_MS)
         return self._report()
@@ -91,7 +102,7 @@
         self.arrivals.seed(scenario.seed)
         self.engines = rig_world.make_engines(self.loop, ENGINES, DOMAINS)
         by_name = {engine.name: engine for engine in self.engines}
-        book = suspicion.SuspectRecords()
+        suspects = suspicion.SuspectRecords()
         for number in range(scenario.nodes):
             self.nodes.append(
                 rig_node.Node(
@@ -101,27 +112,27 @@
                     engines=by_name,
                     draw=random.Random(1_000 * scenario.seed + number),
                     ended=self._record_end,
-                    book=book,
-                    weights=WEIGHTS,
+                    suspects=suspects,
+                    weights=TOTAL_WEIGHT,
                     entry_vms=scenario.nodes,
                     is_cut=self._is_cut,
                 )
             )
         for customer, weight in CUSTOMERS:
-            self._arrive_next(customer, weight)
+            self._schedule_arrival(customer, weight)
         for index, (fault, slow) in scenario.faults.items():
-            self._plan_fault(self.engines[index], fault, slow)
+            self._schedule_fault(self.engines[index], fault, slow)
         if scenario.killer_every_ms:
-            self.loop.at(WARM_MS, self._send_killer)
+            self.loop.at(WARMUP_MS, self._send_killer)
         self.loop.at(0.0, self._report_loads)
-        self.loop.at(WARM_MS, self._clear_counts)
+        self.loop.at(WARMUP_MS, self._clear_counts)
 
     def _clear_counts(self) -> None:
         for engine in self.engines:
             engine.hits = engine.lookups = 0
             engine.load_time = 0.0
 
-    def _plan_fault(
+    def _schedule_fault(
         self, engine: rig_world.Engine, fault: str, slow: float
     ) -> None:
         begins, ends = self.scenario.fault_ms
@@ -135,14 +146,14 @@
         self.loop.at(begins, begin)
         self.loop.at(ends, end)
 
-    def _rate_of(self, customer: str, weight: float) -> float:
-        """A customer's requests per ms.
+    def _compute_rate(self, customer: str, weight: float) -> float:
+        """Compute a customer's requests per ms.
 
-        Small ones ask for less than their share of the capacity, whatever
-        the load; the large ones for all the rest.
+        Small customers demand less than their share of the capacity at any
+        load; the large ones make up the rest of the demand.
         """
-        capacity = rig_world.find_capacity(ENGINES) / MEAN_TOKENS
-        small = SMALL_OF_SHARE * capacity / WEIGHTS
+        capacity = rig_world.compute_capacity(ENGINES) / MEAN_TOKENS
+        small = SMALL_DEMAND_PART * capacity / TOTAL_WEIGHT
         small *= min(1.0, self.scenario.load)
         if weight == 1.0:
             return small
@@ -151,18 +162,18 @@
             return rest / 2
         return rest * (0.9 if customer == "large-0" else 0.1)
 
-    def _arrive_next(self, customer: str, weight: float) -> None:
-        rate = self._rate_of(customer, weight)
+    def _schedule_arrival(self, customer: str, weight: float) -> None:
+        rate = self._compute_rate(customer, weight)
         large = weight > 1.0
         burst = self.scenario.burst
         if burst > 1.0 and large:
-            # All of a second's requests in its first part.
+            # All requests of a second arrive in its first part.
             phase = self.loop.now % 1_000.0
             if phase >= 1_000.0 / burst:
                 wait = 1_000.0 - phase
                 self.loop.at(
                     self.loop.now + wait,
-                    lambda: self._arrive_next(customer, weight),
+                    lambda: self._schedule_arrival(customer, weight),
                 )
                 return
             rate *= burst
@@ -171,14 +182,14 @@
         def arrive() -> None:
             if self.loop.now < END_MS:
                 self._send(self._make_job(customer, weight))
-                self._arrive_next(customer, weight)
+                self._schedule_arrival(customer, weight)
 
         self.loop.at(self.loop.now + pause, arrive)
 
     def _make_job(self, customer: str, weight: float) -> rig_world.Job:
         prefix = -1
         if self.scenario.prefixes:
-            # Popularity falls as in Zipf's law, by a Pareto draw.
+            # A Pareto draw approximates Zipf's law of popularity.
             prefix = int(self.arrivals.paretovariate(0.6)) - 1
             prefix %= self.scenario.prefixes
         patience = DEADLINE_MS * (2.0 if self.scenario.mixed else 1.0)
@@ -194,9 +205,9 @@
         )
 
     def _send(self, job: rig_world.Job) -> None:
-        late = job.arrived >= WARM_MS
+        late = job.arrived >= WARMUP_MS
         if not job.killer:
-            (self.jobs if late else self.early).append(job)
+            (self.jobs if late else self.warmup_jobs).append(job)
         if late and job.prefix >= 0:
             self.prefixes.append(job.prefix)
         nodes = self.nodes
@@ -205,7 +216,7 @@
         self.arrivals.choice(nodes).submit(job)
 
     def _is_cut(self, node_domain: str, engine_domain: str) -> bool:
-        """Whether the last failure domain is cut off from the others."""
+        """Whether a partition of the last domain separates the two."""
         if not self.scenario.cut or not 6_000 <= self.loop.now < 10_000:
             return False
         inside = (node_domain == DOMAINS[-1], engine_domain == DOMAINS[-1])
@@ -222,22 +233,28 @@
     def _record_end(self, job: rig_world.Job) -> None:
         if job.outcome == "answered" or job.killer:
             return
-        again = attrs.evolve(job, outcome="", attempts=0, told_ms=None)
+        again = attrs.evolve(job, outcome="", attempts=0, retry_after_ms=None)
         again.excluded = frozenset()
         draw = self.arrivals.random()
-        if job.told_ms is not None and draw < self.scenario.comebacks:
-            if not job.comeback:
-                again.comeback = True
+        if job.retry_after_ms is not None and draw < self.scenario.comebacks:
+            if not job.is_retry:
+                again.is_retry = True
                 self.loop.at(
-                    self.loop.now + job.told_ms, lambda: self._resend(again)
+                    self.loop.now + job.retry_after_ms,
+                    lambda: self._resend(again),
                 )
         elif self.scenario.impatient and job.outcome != "dropped":
-            self._storm(job, again)
+            self._retry_impatiently(job, again)
+
+    def _retry_impatiently(
+        self, job: rig_world.Job, again: rig_world.Job
+    ) -> None:
+        """Retry three quarters of the failures; late ones are not retried.
 
-    def _storm(self, job: rig_world.Job, again: rig_world.Job) -> None:
-        """An impatient caller sends a failed request again at once."""
+        Callers wait as long as they were told to, or else 20 ms.
+        """
         if job.outcome != "late" and self.arrivals.random() < 0.75:
-            pause = 20.0 if job.told_ms is None else job.told_ms
+            pause = 20.0 if job.retry_after_ms is None else job.retry_after_ms
             self.loop.at(self.loop.now + pause, lambda: self._resend(again))
 
     def _resend(self, job: rig_world.Job) -> None:
@@ -257,22 +274,22 @@
         def arrive() -> None:
             for node in self.nodes:
                 for name, load in reports:
-                    node.take_report(name, load)
+                    node.record_report(name, load)
 
         self.loop.at(self.loop.now + self.scenario.lag_ms, arrive)
         if self.loop.now < END_MS:
-            pause = rig_world.REPORT_EVERY_MS
+            pause = rig_world.REPORT_INTERVAL_MS
             self.loop.at(self.loop.now + pause, self._report_loads)
 
     def _report(self) -> Result:
         result = Result(scenario=self.scenario.name, policy=self.policy.name)
-        fresh = [job for job in self.jobs if not job.comeback]
+        fresh = [job for job in self.jobs if not job.is_retry]
         answered = [job for job in fresh if job.outcome == "answered"]
         result.in_time = len(answered) / len(fresh)
-        result.small_in_time = find_share(
+        result.small_in_time = compute_answered_share(
             [j for j in fresh if j.customer.startswith("small")]
         )
-        # Late ones count with the time at which their callers gave up.
+        # A late request counts with its deadline as the latency.
         times = sorted(
             job.ended - job.arrived
             for job in fresh
@@ -280,43 +297,45 @@
         ) or [0.0]
         result.p50 = times[len(times) // 2]
         result.p99 = times[int(len(times) * 0.99)]
-        span = END_MS - WARM_MS
-        everything = self.early + self.jobs
+        span = END_MS - WARMUP_MS
+        everything = self.warmup_jobs + self.jobs
         all_answered = [j for j in everything if j.outcome == "answered"]
         tokens = sum(
-            job.tokens for job in all_answered if WARM_MS <= job.ended < END_MS
+            job.tokens
+            for job in all_answered
+            if WARMUP_MS <= job.ended < END_MS
         )
-        result.goodput = tokens / span / rig_world.find_capacity(ENGINES)
-        result.fairness = find_fairness(all_answered)
+        result.goodput = tokens / span / rig_world.compute_capacity(ENGINES)
+        result.fairness = compute_fairness(all_answered)
         result.refused = sum(
             job.outcome in ("refused", "dropped") for job in fresh
         ) / len(fresh)
-        back = [job for job in self.jobs if job.comeback]
+        back = [job for job in self.jobs if job.is_retry]
         if back:
-            result.told_true = find_share(back)
-        begun = sum(node.runs_begun for node in self.nodes)
+            result.told_true = compute_answered_share(back)
+        begun = sum(node.runs_started for node in self.nodes)
         result.wasted = 1.0 - len(all_answered) / max(1, begun)
-        result.balance = find_balance(self.engines)
+        result.balance = compute_balance(self.engines)
         lookups = sum(engine.lookups for engine in self.engines)
         if lookups:
             hits = sum(engine.hits for engine in self.engines)
-            best = find_best_hits(self.prefixes, self.engines)
+            best = compute_best_hits(self.prefixes, self.engines)
             result.hits = hits / lookups / best
         result.kills = sum(engine.crashes for engine in self.engines)
         return result
 
 
-def find_share(jobs: list[rig_world.Job]) -> float:
-    """The share of jobs that were answered in time."""
+def compute_answered_share(jobs: list[rig_world.Job]) -> float:
+    """Compute the share of jobs that were answered in time."""
     answered = sum(job.outcome == "answered" for job in jobs)
     return answered / max(1, len(jobs))
 
 
-def find_fairness(answered: list[rig_world.Job]) -> float:
-    """The lower of the large customers' work over the higher.
+def compute_fairness(answered: list[rig_world.Job]) -> float:
+    """Compute the ratio of the large customers' completed work, low to high.
 
-    Both have the same weight and ask for more than there is, so 1 is fair
-    at saturation; where demand differs it says nothing.
+    Both have the same weight and exceed their share at saturation, where 1
+    is fair. The ratio is not meaningful where their demands differ.
     """
     work = {"large-0": 0.0, "large-1": 0.0}
     for job in answered:
@@ -326,16 +345,16 @@
     return low / high if high else 1.0
 
 
-def find_balance(engines: list[rig_world.Engine]) -> float:
-    """The most loaded engine's mean load over the mean of all."""
+def compute_balance(engines: list[rig_world.Engine]) -> float:
+    """Compute the highest mean load of an engine over the mean of all."""
     loads = [engine.load_time for engine in engines]
     return max(loads) * len(loads) / max(1e-9, sum(loads))
 
 
-def find_best_hits(
+def compute_best_hits(
     prefixes: list[int], engines: list[rig_world.Engine]
 ) -> float:
-    """The share of hits if all caches were one."""
+    """Compute the share of hits if all caches were a single LRU cache."""
     size = sum(engine.cache_size for engine in engines)
     cache: dict[int, None] = {}
     hits = 0
@@ -351,5 +370,5 @@
 def run_trial(
     pair: tuple[Scenario, rig_node.Policy],
 ) -> Result:
-    """One policy under one load; for a pool of workers."""
+    """Simulate one policy under one load; called by a process pool."""
     return Trial(*pair).run()
--- a/bench/rig_suite.py
+++ b/bench/rig_suite.py
@@ -1,4 +1,4 @@
-"""Which loads the rig runs, and which parts are switched off in each."""
+"""The simulated scenarios, and the parts to switch off in each."""
 
 import statistics
 
@@ -13,7 +13,7 @@
 
 
 def make_suite() -> list[tuple[rig_scenarios.Scenario, tuple[str, ...]]]:
-    """Each load and the parts that it is meant to test."""
+    """Make the scenarios, each with the parts whose effect it shows."""
     scenario = rig_scenarios.Scenario
     broken = {number: ("breaks", 1.0) for number in range(10)}
     return [
@@ -103,7 +103,7 @@
 
 
 def make_lag_suite() -> list[rig_scenarios.Scenario]:
-    """Load reports that come 0 to 5 s late."""
+    """Make scenarios with load reports that are 0 to 5 s late."""
     return [
         rig_scenarios.Scenario(
             name=f"{lag / 1000:g} s late",
@@ -117,7 +117,7 @@
 
 
 def make_load_suite() -> list[rig_scenarios.Scenario]:
-    """Demand from half to five times the capacity, for the plot."""
+    """Make scenarios with demand of 0.5 to 5 times capacity, for the plot."""
     return [
         rig_scenarios.Scenario(name=f"{load}x", load=load)
         for load in (0.5, 0.8, 1.0, 1.3, 2.0, 3.0, 5.0)
@@ -125,7 +125,7 @@
 
 
 def make_policies(parts: tuple[str, ...]) -> list[rig_node.Policy]:
-    """The baselines, the own policy, and it with one part switched off."""
+    """Make the baselines, the product's policy, and it without each part."""
     policies = [rig_node.Policy(name, name) for name in BASELINES]
     policies.append(rig_node.Policy("own"))
     for part in parts:
@@ -135,7 +135,7 @@
 
 
 def make_pairs() -> list[tuple[rig_scenarios.Scenario, rig_node.Policy]]:
-    """Every trial of the benchmark, all seeds."""
+    """Make every pair of scenario and policy, with every seed."""
     single = [
         (scenario, policy)
         for scenario, parts in make_suite()
@@ -161,7 +161,7 @@
 def average(
     results: list[rig_scenarios.Result],
 ) -> dict[tuple[str, str], rig_scenarios.Result]:
-    """The mean over the seeds, by scenario and policy; kills: the most."""
+    """Average over seeds, by scenario and policy; ``kills``: the maximum."""
     groups: dict[tuple[str, str], list[rig_scenarios.Result]] = {}
     for result in results:
         key = (result.scenario, result.policy)
--- a/bench/rig_timing.py
+++ b/bench/rig_timing.py
@@ -1,4 +1,4 @@
-"""Time for one decision, at today's sizes and at those aimed at."""
+"""Measures the time of one decision, at current and at planned sizes."""
 
 import gc
 import random
@@ -17,7 +17,10 @@
 
 @attrs.frozen(kw_only=True)
 class Timing:
-    """Time of one decision in microseconds, and of making the index."""
+    """Time of one decision in microseconds, and of building the index.
+
+    ``serving`` is the number of endpoints that serve the version.
+    """
 
     name: str
     endpoints: int
@@ -28,7 +31,7 @@
 
 
 def make_fleet(endpoints: int, versions: int, held: int) -> dict[str, list]:
-    """Views of all endpoints, by version; each holds ``held`` versions."""
+    """Make endpoint views by version; each endpoint has ``held`` versions."""
     by_version: dict[str, list] = {f"v{n}": [] for n in range(versions)}
     draw = random.Random(endpoints)
     for number in range(endpoints):
@@ -52,7 +55,7 @@
     began = time.perf_counter()
     candidates = placement.Candidates.from_views(views)
     index_ms = (time.perf_counter() - began) * 1000
-    queue, promises = queueing.FairQueue(), admission.RetrySchedule()
+    queue, retry_schedule = queueing.FairQueue(), admission.RetrySchedule()
     draw = random.Random(7)
     keys = [placement.hash_key(f"p{n}") for n in range(RING_KEYS)]
     taken: list[int] = []
@@ -67,7 +70,7 @@
         )
         key = keys[draw.randrange(RING_KEYS)]
         start = time.perf_counter_ns()
-        admission.check_admission(queue, item, 0.0, 100.0, 200, promises)
+        admission.check_admission(queue, item, 0.0, 100.0, 200, retry_schedule)
         queueing.push(queue, item)
         head = queueing.list_heads(queue)[0]
         view = placement.choose(candidates, key, "d0", 0.0, draw.randrange)
@@ -91,7 +94,11 @@
 
 
 def time_all() -> list[Timing]:
-    """Today's sizes, those aimed at, and four times as many that cannot."""
+    """Time the current sizes, the planned ones and two variants of these.
+
+    One variant has four times as many endpoints and versions, with equally
+    many endpoints for each version; in the other all serve all versions.
+    """
     return [
         time_decisions("today: 10 endpoints, 3 versions", 10, 3, 3),
         time_decisions("790 endpoints, 28 versions", 790, 28, 2),
