--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -137,9 +137,9 @@
     )
 
 
-def merge_rows(rows: list[list]) -> dict[str, membership.Heard]:
+def merge_rows(rows: list[list]) -> dict[str, membership.KnownMember]:
     """What a node does with received records."""
-    known: dict[str, membership.Heard] = {}
+    known: dict[str, membership.KnownMember] = {}
     for row in cbor2.loads(cbor2.dumps(rows)):
         member = membership.decode_member(row)
         assert member is not None
@@ -192,10 +192,10 @@
 def fold_group(group: list[claims.Claim]) -> claims.ClaimTable:
     """What a reader does with one record of claims."""
     table = claims.ClaimTable()
-    claims.begin(table, 1, 0.0)
+    claims.start_reading(table, 1, 0.0)
     decoded = claims.decode(json.loads(json.dumps(claims.encode(group))))
     claims.fold_claims(
-        table, [claims.Group(offset=1, at_ms=0, claims=tuple(decoded))]
+        table, [claims.ClaimGroup(offset=1, at_ms=0, claims=tuple(decoded))]
     )
     return table
 
--- a/src/carawayward/controllers/claims.py
+++ b/src/carawayward/controllers/claims.py
@@ -204,7 +204,7 @@
         claims.fold_claims(
             self.table,
             [
-                claims.Group(
+                claims.ClaimGroup(
                     offset=item.offset,
                     at_ms=item.at_ms,
                     claims=claims.decode(item.data),
@@ -212,8 +212,8 @@
                 for item in batch.records
             ],
         )
-        claims.forget_old(self.table, self.clock.wall_ms(), self.rules)
-        claims.bound_table(self.table, WINNERS_MOST)
+        claims.drop_expired(self.table, self.clock.wall_ms(), self.rules)
+        claims.limit_winners(self.table, WINNERS_MOST)
 
     def _begin(self, batch: log_module.Batch) -> None:
         """Begin at the oldest record, and again if the log ran away.
@@ -224,7 +224,7 @@
         covered_from = float(self.clock.wall_ms() + self.rules.skew_ms)
         if batch.records:
             covered_from = float(batch.records[0].at_ms)
-        claims.begin(self.table, batch.oldest, covered_from)
+        claims.start_reading(self.table, batch.oldest, covered_from)
         self._begun = True
 
     def _interval_ms(self) -> float:
--- a/src/carawayward/controllers/configuration.py
+++ b/src/carawayward/controllers/configuration.py
@@ -92,7 +92,7 @@
         offset = state.read_to + 1 if state else 1
         wait_ms = 0
         if self.reachable:
-            wait_ms = int(freshness.find_poll_wait(self.board.lease_ms))
+            wait_ms = int(freshness.compute_poll_wait_ms(self.board.lease_ms))
         sent_ms = self.clock.now_ms()
         batch = await self.log.read(STREAM, offset, wait_ms, READ_MOST)
         if state is None or batch.oldest > state.read_to + 1:
@@ -104,7 +104,7 @@
         if not state.known:
             return
         if len(batch.records) < READ_MOST:
-            self.board.fresh_ms = freshness.take_read(
+            self.board.fresh_ms = freshness.apply_read(
                 self.board.fresh_ms, sent_ms
             )
         if state.document is not None:
@@ -125,7 +125,7 @@
             )
         state = config_log.start_reading(batch.oldest)
         if self.copy is not None:
-            state = config_log.take_peer_copy(state, self.copy)
+            state = config_log.apply_peer_copy(state, self.copy)
         if batch.records:
             self.snapshot_at_ms = batch.records[0].at_ms
         return state
@@ -165,7 +165,9 @@
         One peer, whatever happens: the work does not grow with faults.
         """
         while True:
-            interval_ms = freshness.find_question_interval(self.board.lease_ms)
+            interval_ms = freshness.compute_query_interval_ms(
+                self.board.lease_ms
+            )
             await self.clock.sleep(interval_ms)
             peers = sorted(self.hub.links)
             if peers:
@@ -187,11 +189,11 @@
             await self._take_copy(peer, answer["copy"])
         if answer["age_ms"] is None or self.board.config is None:
             return
-        self.board.fresh_ms = freshness.take_vouch(
+        self.board.fresh_ms = freshness.apply_attestation(
             self.board.fresh_ms,
             asked_ms,
             self.board.config.revision,
-            freshness.Vouch(
+            freshness.Attestation(
                 revision=int(answer["revision"]),
                 age_ms=float(answer["age_ms"]),
             ),
@@ -241,7 +243,7 @@
         if self.copy is None or copy.as_of > self.copy.as_of:
             self.copy = copy
         if state is not None:
-            self.state = state = config_log.take_peer_copy(state, copy)
+            self.state = state = config_log.apply_peer_copy(state, copy)
         try:
             await self._put_in_force(copy.revision, copy.document)
             if state is not None and state.known and state.document:
--- a/src/carawayward/controllers/membership.py
+++ b/src/carawayward/controllers/membership.py
@@ -43,7 +43,7 @@
     clock: clock_module.Clock
     hub: hub_module.PeerHub
     address: str
-    known: dict[str, membership.Heard] = attrs.field(factory=dict)
+    known: dict[str, membership.KnownMember] = attrs.field(factory=dict)
     changed: dict[str, int] = attrs.field(factory=dict)
     _started_ms: int = 0
     _sequence: int = 0
@@ -159,7 +159,7 @@
             await self.clock.sleep(ROUND_MS)
             now = self.clock.now_ms()
             silence_ms = SILENT_BEATS * self._beat_ms()
-            for name in membership.forget_silent(self.known, now, silence_ms):
+            for name in membership.drop_silent(self.known, now, silence_ms):
                 events.log_event(events.Event.MEMBER_FORGOTTEN, node=name)
             self._write_board()
             peers = sorted(self.hub.links)
@@ -210,7 +210,7 @@
                 address=member.address,
                 leaving=member.leaving,
                 revision=member.revision,
-                heard_ms=now if linked else heard.risen_ms,
+                heard_ms=now if linked else heard.updated_ms,
             )
         for vm in before.values():
             self._keep_untold(shown, vm, now)
--- a/src/carawayward/controllers/publishing.py
+++ b/src/carawayward/controllers/publishing.py
@@ -25,7 +25,7 @@
     log: log_module.LogClient
     publish_id: str = attrs.field(factory=lambda: secrets.token_hex(12))
     state: config_log.ConfigState | None = None
-    fate: config_log.Fate = config_log.Fate()
+    fate: config_log.PublishResult = config_log.PublishResult()
 
     async def read_on(self) -> config_log.ConfigState:
         """Fold the log up to its tail."""
@@ -45,7 +45,7 @@
         if record is None:
             self.state = attrs.evolve(self.state, read_to=item.offset)
             return
-        self.state, self.fate = config_log.follow_publish(
+        self.state, self.fate = config_log.track_publish(
             self.state, item.offset, record, self.publish_id, self.fate
         )
 
--- a/src/carawayward/controllers/sightings.py
+++ b/src/carawayward/controllers/sightings.py
@@ -23,8 +23,8 @@
 PROBE_INTERVAL_MS = 1_000.0
 FIRST_LOOK_MS = 50.0
 ROUND_MS = 2_000.0
-# See membership.choose_probed: today's users have 8 to 14 endpoints, and
-# every node probes them all; at 790 a node probes some six of them.
+# See membership.choose_probe_targets: today's users have 8 to 14 endpoints,
+# and every node probes them all; at 790 a node probes some six of them.
 PROBE_ALL_MOST = 40
 PROBERS = 3
 # Facts a round to one peer, some 90 bytes each.
@@ -43,7 +43,7 @@
     vms: vms_module.VmList
     hub: hub_module.PeerHub
     endpoints: endpoints_module.EndpointClient
-    known: dict[str, sightings.Sighting] = attrs.field(factory=dict)
+    known: dict[str, sightings.ObservedEndpoint] = attrs.field(factory=dict)
     _probing: set[str] = attrs.field(factory=set)
     _share: list[str] = attrs.field(factory=list)
     _share_of: tuple[frozenset, frozenset] | None = None
@@ -83,7 +83,7 @@
             if vm.role != "endpoint":
                 continue
             names.add(vm.name)
-            seen = sightings.see_listed(
+            seen = sightings.merge_listed(
                 self.known.get(vm.name),
                 vm.name,
                 vm.pool,
@@ -94,10 +94,10 @@
             )
             await self._put(seen)
         for name in self.known.keys() - names:
-            await self._put(sightings.see_unlisted(self.known[name]))
+            await self._put(sightings.mark_unlisted(self.known[name]))
         self._write_board()
 
-    async def _put(self, seen: sightings.Sighting) -> None:
+    async def _put(self, seen: sightings.ObservedEndpoint) -> None:
         """Keep a sighting; tell all links when an endpoint leaves.
 
         Each node passes a leaving mark on once, when it first learns it, so
@@ -107,9 +107,9 @@
         self.known[seen.name] = seen
         if seen.leaving and not (before is not None and before.leaving):
             self._write_board()
-            fact = sightings.make_fact(seen, self.clock.now_ms())
+            fact = sightings.make_observation(seen, self.clock.now_ms())
             if fact is not None:
-                row = membership.encode_fact(fact)
+                row = membership.encode_observation(fact)
                 await self.hub.tell_all("endpoints", [row])
 
     def _write_board(self) -> None:
@@ -117,7 +117,7 @@
         self.known = {
             name: seen
             for name, seen in self.known.items()
-            if sightings.is_kept(seen, now)
+            if sightings.is_retained(seen, now)
         }
         # Whether this node reaches an endpoint that it probes itself is not
         # for a peer to say: the two may stand on two sides of a cut.
@@ -153,7 +153,7 @@
         )
         if self._share_of != (seen, members):
             self._share_of = (seen, members)
-            self._share = membership.choose_probed(
+            self._share = membership.choose_probe_targets(
                 sorted(seen),
                 members,
                 (self.board.name, self.board.failure_domain),
@@ -193,10 +193,10 @@
         if seen is None or seen.address != endpoint.address:
             return
         if report is None:
-            await self._put(sightings.see_silence(seen))
+            await self._put(sightings.record_failed_probe(seen))
             return
         await self._put(
-            sightings.see_report(
+            sightings.merge_report(
                 seen,
                 frozenset(report.versions),
                 report.load,
@@ -228,9 +228,9 @@
         rows = []
         for step in range(min(count, len(names))):
             name = names[(self._cursor + step) % len(names)]
-            fact = sightings.make_fact(self.known[name], now)
+            fact = sightings.make_observation(self.known[name], now)
             if fact is not None:
-                rows.append(membership.encode_fact(fact))
+                rows.append(membership.encode_observation(fact))
         self._cursor += count
         return rows
 
@@ -251,11 +251,11 @@
     async def _take_facts(self, peer: str, body: typing.Any) -> None:
         now = self.clock.now_ms()
         for row in body:
-            fact = membership.decode_fact(row)
+            fact = membership.decode_observation(row)
             if fact is None:
                 continue
             known = self.known.get(fact.name)
             if known is None and fact.age_ms > LEARN_AGE_MS:
                 continue
-            await self._put(sightings.see_fact(known, fact, now))
+            await self._put(sightings.merge_observation(known, fact, now))
         self._write_board()
--- a/src/carawayward/gateway/handover.py
+++ b/src/carawayward/gateway/handover.py
@@ -32,7 +32,7 @@
 def listen(
     hub: hub_module.PeerHub,
     board: blackboard_module.Blackboard,
-    book: tickets.Book,
+    book: tickets.RightsTable,
 ) -> None:
     """Take over what leaving peers hand to this node."""
 
@@ -61,13 +61,13 @@
 async def hand_over(
     hub: hub_module.PeerHub,
     board: blackboard_module.Blackboard,
-    book: tickets.Book,
+    book: tickets.RightsTable,
     self_id: NodeId,
     wall_ms: int,
 ) -> bool:
     """Name an heir and send it all; whether it took everything."""
     heir = choose_heir(hub, board)
-    given = tickets.name_heir(book, self_id, heir) if heir else None
+    given = tickets.assign_heir(book, self_id, heir) if heir else None
     if heir is None or given is None:
         return False
     try:
--- a/src/carawayward/gateway/once.py
+++ b/src/carawayward/gateway/once.py
@@ -79,7 +79,7 @@
     claims: claims_module.ClaimsController
     rules: tickets.Rules = attrs.field(factory=tickets.Rules)
     run_service: RunService | None = None
-    book: tickets.Book = attrs.field(factory=tickets.Book)
+    book: tickets.RightsTable = attrs.field(factory=tickets.RightsTable)
     _running: dict[str, Running] = attrs.field(factory=dict)
     _nursery: trio.Nursery | None = None
 
@@ -222,7 +222,7 @@
 
     async def _present(self, job: Job) -> outcomes.Outcome:
         wall_ms = self.lifecycle.clock.wall_ms()
-        decision = tickets.present(
+        decision = tickets.decide(
             self.book, job.right, job.expires_ms, wall_ms, self.rules
         )
         match decision:
@@ -283,7 +283,7 @@
                 detail=supervision.describe_fault(fault),
             )
         finally:
-            tickets.end_use(self.book, job.right, running.outcome)
+            tickets.record_outcome(self.book, job.right, running.outcome)
             del self._running[job.right]
             running.done.set()
 
@@ -351,6 +351,8 @@
         while True:
             await self.lifecycle.clock.sleep(FORGET_INTERVAL_MS)
             wall_ms = self.lifecycle.clock.wall_ms()
-            tickets.forget_old(self.book, wall_ms, self.rules)
+            tickets.drop_expired(self.book, wall_ms, self.rules)
             longest_ms = max(TICKET_LIFE_MS, self.claims.rules.window_ms)
-            tickets.forget_issuers(self.book, wall_ms, longest_ms, self.rules)
+            tickets.drop_expired_issuers(
+                self.book, wall_ms, longest_ms, self.rules
+            )
--- a/src/carawayward/peers/dialling.py
+++ b/src/carawayward/peers/dialling.py
@@ -83,7 +83,7 @@
         seeds = set(self.hub.settings.peers)
         seeds.discard(self.hub.settings.listen.peers)
         linked = self._list_linked()
-        if len(seeds) > topology.FULL_MESH_MOST:
+        if len(seeds) > topology.MAX_FULL_MESH_SIZE:
             return bool(linked)
         return seeds <= linked | set(self.avoided)
 
@@ -180,7 +180,7 @@
         hub = self.hub
         seeds = hub.settings.peers
         members = max(len(hub.board.entry_vms) + 1, len(seeds))
-        if members <= topology.FULL_MESH_MOST:
+        if members <= topology.MAX_FULL_MESH_SIZE:
             return list(seeds)
         here = hub.settings.listen.peers
         others = [seed for seed in seeds if seed != here]
@@ -193,7 +193,7 @@
         """Close own links that are neither chosen nor used."""
         chosen = self.choose()
         seeds = set(self.hub.settings.peers)
-        small = len(seeds) <= topology.FULL_MESH_MOST
+        small = len(seeds) <= topology.MAX_FULL_MESH_SIZE
         for name, link in list(self.hub.links.items()):
             given = link.identity.address
             seeded = small and self.routes.get(given, given) in seeds
--- a/src/carawayward/peers/hub.py
+++ b/src/carawayward/peers/hub.py
@@ -179,7 +179,7 @@
         keys = self.settings.keys.peers
         challenge = secrets.token_bytes(handshake.NONCE_BYTES)
         await socket.send(challenge)
-        proof = handshake.check_proof(
+        proof = handshake.verify_proof(
             keys, handshake.DIALLER, challenge, await socket.recv()
         )
         reply = handshake.prove(
@@ -220,7 +220,7 @@
                 keys, handshake.DIALLER, challenge, nonce, self.identity
             )
         )
-        proof = handshake.check_proof(
+        proof = handshake.verify_proof(
             keys, handshake.LISTENER, nonce, await socket.recv()
         )
         if proof.nonce != challenge:
--- a/src/carawayward/protocol/claims.py
+++ b/src/carawayward/protocol/claims.py
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Group:
+class ClaimGroup:
     """One record of the stream: claims in order, and its place and time."""
 
     offset: int
@@ -95,7 +95,9 @@
     NOT_COVERED = "not-covered"
 
 
-def begin(table: ClaimTable, oldest: int, covered_from_ms: float) -> None:
+def start_reading(
+    table: ClaimTable, oldest: int, covered_from_ms: float
+) -> None:
     """Start to read at ``oldest``, at first or after a gap.
 
     ``covered_from_ms`` is the time of the oldest record kept, or the wall
@@ -106,7 +108,9 @@
     table.read_to = oldest - 1
 
 
-def fold_claims(table: ClaimTable, groups: typing.Iterable[Group]) -> None:
+def fold_claims(
+    table: ClaimTable, groups: typing.Iterable[ClaimGroup]
+) -> None:
     """Fold groups in offset order; the first claim of a key wins."""
     for group in groups:
         if group.offset <= table.read_to:
@@ -122,7 +126,7 @@
                 )
 
 
-def forget_old(table: ClaimTable, wall_ms: int, rules: Rules) -> None:
+def drop_expired(table: ClaimTable, wall_ms: int, rules: Rules) -> None:
     """Drop winners whose keys no node would run any more."""
     horizon = wall_ms - rules.window_ms - 2 * rules.skew_ms
     old = [
@@ -134,7 +138,7 @@
         del table.winners[key]
 
 
-def bound_table(table: ClaimTable, most: int) -> None:
+def limit_winners(table: ClaimTable, most: int) -> None:
     """Keep at most ``most`` winners, so that a flood cannot fill memory.
 
     The oldest go, and with them the right to judge keys of their time: the
--- a/src/carawayward/protocol/config_log.py
+++ b/src/carawayward/protocol/config_log.py
@@ -48,7 +48,7 @@
 Record = Publish | Snapshot
 
 STREAM = "configuration"
-PENDING_MOST = 256
+MAX_PENDING_PUBLISHES = 256
 
 
 @attrs.frozen(kw_only=True)
@@ -57,15 +57,15 @@
 
     ``known`` is False while the reader has seen neither the beginning of
     the log nor a snapshot; such a reader serves nothing from the log.
-    ``began`` is the first offset whose record the reader has, in effect or
-    in ``pending``.
+    ``first_offset`` is the first offset whose record the reader has, in
+    effect or in ``pending``.
     """
 
     known: bool
     revision: int = 0
     document: dict | None = None
     read_to: int = 0
-    began: int = 1
+    first_offset: int = 1
     pending: tuple[tuple[int, Publish], ...] = ()
 
 
@@ -74,7 +74,9 @@
 
     Offsets begin at 1; whoever reads from there has missed nothing.
     """
-    return ConfigState(known=oldest <= 1, read_to=oldest - 1, began=oldest)
+    return ConfigState(
+        known=oldest <= 1, read_to=oldest - 1, first_offset=oldest
+    )
 
 
 def apply_record(
@@ -100,10 +102,10 @@
     dropped counts as never read: only a snapshot past it is taken.
     """
     pending = (*state.pending, (offset, record))
-    if len(pending) <= PENDING_MOST:
+    if len(pending) <= MAX_PENDING_PUBLISHES:
         return attrs.evolve(state, pending=pending)
     dropped = pending[0][0]
-    return attrs.evolve(state, pending=pending[1:], began=dropped + 1)
+    return attrs.evolve(state, pending=pending[1:], first_offset=dropped + 1)
 
 
 def _apply_publish(
@@ -136,12 +138,12 @@
     A slow writer's snapshot may be older than the oldest record kept; the
     publishes between the two would be skipped and the reader would revert.
     """
-    if snapshot.as_of < state.began - 1:
+    if snapshot.as_of < state.first_offset - 1:
         return False
     return declaration.digest_document(snapshot.document) == snapshot.digest
 
 
-def take_peer_copy(state: ConfigState, copy: Snapshot) -> ConfigState:
+def apply_peer_copy(state: ConfigState, copy: Snapshot) -> ConfigState:
     """Use a peer's copy as a snapshot that did not come through the log.
 
     It counts only for a reader that knows nothing yet; one that knows folds
@@ -186,7 +188,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Fate:
+class PublishResult:
     """What reading on has shown of one publish.
 
     ``revision`` is its offset once it took effect; ``refused`` says that it
@@ -197,13 +199,13 @@
     refused: bool = False
 
 
-def follow_publish(
+def track_publish(
     state: ConfigState,
     offset: int,
     record: Record,
     publish_id: str,
-    fate: Fate,
-) -> tuple[ConfigState, Fate]:
+    fate: PublishResult,
+) -> tuple[ConfigState, PublishResult]:
     """Fold one record and note what it means for a publish.
 
     An append whose answer was lost may be in the log, may come into it late,
@@ -216,8 +218,8 @@
     if not mine or fate.revision is not None:
         return after, fate
     if after.revision == offset:
-        return after, Fate(revision=offset)
-    return after, Fate(refused=True)
+        return after, PublishResult(revision=offset)
+    return after, PublishResult(refused=True)
 
 
 def is_snapshot_due(
--- a/src/carawayward/protocol/freshness.py
+++ b/src/carawayward/protocol/freshness.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Vouch:
+class Attestation:
     """A peer's word: "all records up to ``age_ms`` ago are in this"."""
 
     revision: int
@@ -39,32 +39,32 @@
 # A poll of the log may wait for this part of the lease, so that a peer's
 # proof is up to two of them old when it is asked for: as old as the poll at
 # its answer, and one poll more just before the next answer.
-POLLS_A_LEASE = 3
+POLLS_PER_LEASE = 3
 # Peers are asked this often in a lease: the rest of the lease, after a proof
 # that is two polls old, then covers one question that gets no answer.
-QUESTIONS_A_LEASE = 7
+QUERIES_PER_LEASE = 7
 # No more often than with the usual lease; each question costs 0.3 ms of
 # processor time at either end.
-LONGEST_QUESTION_MS = 2_000.0
+MAX_QUERY_INTERVAL_MS = 2_000.0
 
 
-def find_poll_wait(lease_ms: float) -> float:
+def compute_poll_wait_ms(lease_ms: float) -> float:
     """How long a poll of the log may wait, in ms."""
-    return lease_ms / POLLS_A_LEASE
+    return lease_ms / POLLS_PER_LEASE
 
 
-def find_question_interval(lease_ms: float) -> float:
+def compute_query_interval_ms(lease_ms: float) -> float:
     """How often a peer is asked for its vouch, in ms."""
-    return min(LONGEST_QUESTION_MS, lease_ms / QUESTIONS_A_LEASE)
+    return min(MAX_QUERY_INTERVAL_MS, lease_ms / QUERIES_PER_LEASE)
 
 
-def take_read(proof_ms: float, sent_ms: float) -> float:
+def apply_read(proof_ms: float, sent_ms: float) -> float:
     """The proof's instant after a read of the tail sent at ``sent_ms``."""
     return max(proof_ms, sent_ms)
 
 
-def take_vouch(
-    proof_ms: float, asked_ms: float, own_revision: int, vouch: Vouch
+def apply_attestation(
+    proof_ms: float, asked_ms: float, own_revision: int, vouch: Attestation
 ) -> float:
     """The proof's instant after a peer's vouch.
 
--- a/src/carawayward/protocol/handshake.py
+++ b/src/carawayward/protocol/handshake.py
@@ -66,11 +66,11 @@
     return cbor2.dumps([*attrs.astuple(identity), nonce, signature])
 
 
-def check_proof(
+def verify_proof(
     keys: typing.Sequence[str], role: bytes, challenge: bytes, data: object
 ) -> Proof:
     """Read a proof and check it against all keys, or raise."""
-    proof = read_proof(data)
+    proof = decode_proof(data)
     for key in keys:
         expected = sign(key, role, challenge, proof.nonce, proof.identity)
         if hmac.compare_digest(expected, proof.signature):
@@ -80,7 +80,7 @@
     )
 
 
-def read_proof(data: object) -> Proof:
+def decode_proof(data: object) -> Proof:
     """Decode a proof; raise NotAuthenticated for anything else."""
     fault = errors.NotAuthenticated(f"the peer sent no proof; {REMEDY}")
     if not isinstance(data, bytes) or len(data) > MAX_MESSAGE_BYTES:
--- a/src/carawayward/protocol/membership.py
+++ b/src/carawayward/protocol/membership.py
@@ -41,26 +41,26 @@
 
 
 @attrs.frozen(kw_only=True)
-class Heard:
+class KnownMember:
     """A member's record and when this node last saw it rise (own clock)."""
 
     member: Member
-    risen_ms: float
+    updated_ms: float
 
 
 def merge_member(
-    known: dict[str, Heard], member: Member, now_ms: float
+    known: dict[str, KnownMember], member: Member, now_ms: float
 ) -> bool:
     """Take a record; whether it was newer than what was known."""
     current = known.get(member.name)
     if current is not None and current.member.rank >= member.rank:
         return False
-    known[member.name] = Heard(member=member, risen_ms=now_ms)
+    known[member.name] = KnownMember(member=member, updated_ms=now_ms)
     return True
 
 
-def forget_silent(
-    known: dict[str, Heard], now_ms: float, silence_ms: float
+def drop_silent(
+    known: dict[str, KnownMember], now_ms: float, silence_ms: float
 ) -> list[str]:
     """Drop and return members whose records have not risen for long.
 
@@ -71,7 +71,7 @@
     silent = [
         name
         for name, heard in known.items()
-        if now_ms - heard.risen_ms > silence_ms
+        if now_ms - heard.updated_ms > silence_ms
     ]
     for name in silent:
         del known[name]
@@ -79,7 +79,7 @@
 
 
 def choose_records(
-    known: dict[str, Heard],
+    known: dict[str, KnownMember],
     changed: dict[str, int],
     cursor: int,
     count: int,
@@ -105,7 +105,7 @@
         if len(picked) >= count:
             break
         name = names[(cursor + step) % len(names)]
-        young = now_ms - known[name].risen_ms <= silence_ms / 2
+        young = now_ms - known[name].updated_ms <= silence_ms / 2
         if name not in urgent and young:
             picked.append(name)
     advance = len(picked) - len(urgent)
@@ -114,7 +114,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class EndpointFact:
+class EndpointObservation:
     """What one probe of an endpoint showed.
 
     ``age_ms`` is how long ago, at the sender; ages add up on the way, so no
@@ -150,7 +150,7 @@
     ]
 
 
-def choose_probed(
+def choose_probe_targets(
     endpoints: typing.Iterable[tuple[str, str]],
     members: typing.Iterable[tuple[str, str]],
     self_id: tuple[str, str],
@@ -210,7 +210,7 @@
     return Member(**values)
 
 
-def encode_fact(fact: EndpointFact) -> list:
+def encode_observation(fact: EndpointObservation) -> list:
     """Short form of an endpoint's fact between peers."""
     return [
         *attrs.astuple(fact)[:4],
@@ -219,7 +219,7 @@
     ]
 
 
-def decode_fact(row: object) -> EndpointFact | None:
+def decode_observation(row: object) -> EndpointObservation | None:
     """Read an endpoint's fact; None for one that makes no sense."""
     match row:
         case [
@@ -232,7 +232,7 @@
             bool() as leaving,
             int() | float() as age_ms,
         ] if all(type(version) is str for version in versions) and age_ms >= 0:
-            return EndpointFact(
+            return EndpointObservation(
                 name=name,
                 address=address,
                 pool=pool,
--- a/src/carawayward/protocol/sightings.py
+++ b/src/carawayward/protocol/sightings.py
@@ -17,17 +17,17 @@
 from carawayward.protocol import membership
 
 # An unlisted endpoint is kept for this long after it last answered anybody.
-KEPT_MS = 10_000.0
-SILENT_PROBES = 2
+UNLISTED_RETENTION_MS = 10_000.0
+MIN_FAILED_PROBES = 2
 
 
 @attrs.frozen(kw_only=True)
-class Sighting:
+class ObservedEndpoint:
     """One endpoint; instants are on this node's monotonic clock.
 
-    ``left_ms`` is when leaving was last observed, ``renewed_ms`` when the
-    endpoint counted as started anew, ``answered_ms`` when it last answered
-    a probe, of this node or of a peer.
+    ``leaving_seen_ms`` is when leaving was last observed, ``restarted_ms``
+    when the endpoint counted as started anew, ``answered_ms`` when it last
+    answered a probe, of this node or of a peer.
     """
 
     name: str
@@ -37,27 +37,27 @@
     listed: bool = False
     listed_leaving: bool = False
     leaving: bool = False
-    left_ms: float = freshness.NEVER
-    renewed_ms: float = freshness.NEVER
+    leaving_seen_ms: float = freshness.NEVER
+    restarted_ms: float = freshness.NEVER
     answered_ms: float = freshness.NEVER
     probed_ms: float = freshness.NEVER
-    silent_probes: int = 0
+    failed_probes: int = 0
     versions: frozenset[str] = frozenset()
     load: float = 0.0
 
 
-def see_listed(
-    known: Sighting | None,
+def merge_listed(
+    known: ObservedEndpoint | None,
     name: str,
     pool: str,
     failure_domain: str,
     address: str,
     leaving: bool,
     now_ms: float,
-) -> Sighting:
+) -> ObservedEndpoint:
     """Merge a line of the list; another address is another endpoint."""
     if known is None or known.address != address:
-        known = Sighting(
+        known = ObservedEndpoint(
             name=name,
             pool=pool,
             failure_domain=failure_domain,
@@ -73,24 +73,24 @@
     return _leave(known, now_ms) if leaving else known
 
 
-def see_unlisted(known: Sighting) -> Sighting:
+def mark_unlisted(known: ObservedEndpoint) -> ObservedEndpoint:
     """The list was read and does not hold this endpoint."""
     return attrs.evolve(known, listed=False, listed_leaving=False)
 
 
-def see_report(
-    known: Sighting,
+def merge_report(
+    known: ObservedEndpoint,
     versions: frozenset[str],
     load: float,
     leaving: bool,
     now_ms: float,
-) -> Sighting:
+) -> ObservedEndpoint:
     """Merge an endpoint's own answer to a probe."""
     renewed = (
         known.leaving
         and not leaving
         and not known.listed_leaving
-        and known.silent_probes >= SILENT_PROBES
+        and known.failed_probes >= MIN_FAILED_PROBES
     )
     known = attrs.evolve(
         known,
@@ -98,25 +98,27 @@
         load=load,
         answered_ms=now_ms,
         probed_ms=now_ms,
-        silent_probes=0,
+        failed_probes=0,
     )
     if renewed:
-        return attrs.evolve(known, leaving=False, renewed_ms=now_ms)
+        return attrs.evolve(known, leaving=False, restarted_ms=now_ms)
     return _leave(known, now_ms) if leaving else known
 
 
-def see_silence(known: Sighting) -> Sighting:
+def record_failed_probe(known: ObservedEndpoint) -> ObservedEndpoint:
     """A probe of this node got no answer."""
-    return attrs.evolve(known, silent_probes=known.silent_probes + 1)
+    return attrs.evolve(known, failed_probes=known.failed_probes + 1)
 
 
-def see_fact(
-    known: Sighting | None, fact: membership.EndpointFact, now_ms: float
-) -> Sighting:
+def merge_observation(
+    known: ObservedEndpoint | None,
+    fact: membership.EndpointObservation,
+    now_ms: float,
+) -> ObservedEndpoint:
     """Merge what a peer saw, or heard of, ``age_ms`` ago."""
     seen_ms = now_ms - fact.age_ms
     if known is None:
-        known = Sighting(
+        known = ObservedEndpoint(
             name=fact.name,
             pool=fact.pool,
             failure_domain=fact.failure_domain,
@@ -125,9 +127,9 @@
     if known.address != fact.address:
         return known
     if fact.leaving:
-        if seen_ms <= known.renewed_ms:
+        if seen_ms <= known.restarted_ms:
             return known
-        known = _leave(known, max(seen_ms, known.left_ms))
+        known = _leave(known, max(seen_ms, known.leaving_seen_ms))
     if fact.leaving or seen_ms <= known.answered_ms:
         return known
     return attrs.evolve(
@@ -138,30 +140,30 @@
     )
 
 
-def _leave(known: Sighting, seen_ms: float) -> Sighting:
-    return attrs.evolve(known, leaving=True, left_ms=seen_ms)
+def _leave(known: ObservedEndpoint, seen_ms: float) -> ObservedEndpoint:
+    return attrs.evolve(known, leaving=True, leaving_seen_ms=seen_ms)
 
 
-def is_kept(known: Sighting, now_ms: float) -> bool:
+def is_retained(known: ObservedEndpoint, now_ms: float) -> bool:
     """Whether the endpoint is still worth knowing."""
     if known.listed:
         return True
-    newest = max(known.answered_ms, known.left_ms)
-    return now_ms - newest <= KEPT_MS
+    newest = max(known.answered_ms, known.leaving_seen_ms)
+    return now_ms - newest <= UNLISTED_RETENTION_MS
 
 
-def make_fact(
-    known: Sighting, now_ms: float
-) -> membership.EndpointFact | None:
+def make_observation(
+    known: ObservedEndpoint, now_ms: float
+) -> membership.EndpointObservation | None:
     """What to tell peers; None if nobody has seen the endpoint.
 
     A leaving fact carries the age of that observation, so that it cannot
     overrule a later start of the endpoint.
     """
-    seen_ms = known.left_ms if known.leaving else known.answered_ms
+    seen_ms = known.leaving_seen_ms if known.leaving else known.answered_ms
     if seen_ms == freshness.NEVER:
         return None
-    return membership.EndpointFact(
+    return membership.EndpointObservation(
         name=known.name,
         address=known.address,
         pool=known.pool,
--- a/src/carawayward/protocol/tickets.py
+++ b/src/carawayward/protocol/tickets.py
@@ -7,8 +7,8 @@
 a crash loses book and right together.
 
 Both end. A ticket that has expired is never run, and its mark is kept past
-that by ``kept_ms``; a mark is dropped only when the ticket can no longer be
-taken for an unused one.
+that by ``retention_ms``; a mark is dropped only when the ticket can no longer
+be taken for an unused one.
 """
 
 import dataclasses
@@ -23,13 +23,13 @@
     """Times in ms and the most marks that a book holds.
 
     The limit bounds memory: a mark takes some 300 bytes, an answer more,
-    so answers are dropped first (``answers_most``), marks never early.
+    so answers are dropped first (``max_answers``), marks never early.
     """
 
     skew_ms: int = 2_000
-    kept_ms: int = 600_000
-    marks_most: int = 50_000
-    answers_most: int = 5_000
+    retention_ms: int = 600_000
+    max_marks: int = 50_000
+    max_answers: int = 5_000
 
 
 @attrs.frozen(kw_only=True)
@@ -45,7 +45,7 @@
 
 
 @attrs.define
-class Book:
+class RightsTable:
     """The rights that one incarnation holds.
 
     ``adopted`` are incarnations whose rights were handed to this one, and
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """Run it now; the caller of ``present`` has to mark it used first."""
+    """Run it now; the caller of ``decide`` has to mark it used first."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -95,14 +95,14 @@
 
 
 def holds(
-    book: Book, issuer: tuple[str, str], self_id: tuple[str, str]
+    book: RightsTable, issuer: tuple[str, str], self_id: tuple[str, str]
 ) -> bool:
     """Whether this incarnation's book speaks for an issuer's rights."""
     return issuer == self_id or issuer in book.adopted
 
 
-def present(
-    book: Book, right: str, expires_ms: int, wall_ms: int, rules: Rules
+def decide(
+    book: RightsTable, right: str, expires_ms: int, wall_ms: int, rules: Rules
 ) -> Decision:
     """What to do with a right that this book speaks for."""
     if book.heir is not None:
@@ -110,7 +110,7 @@
     use = book.uses.get(right)
     if use is not None:
         return _present_used(use)
-    if wall_ms > expires_ms + rules.kept_ms:
+    if wall_ms > expires_ms + rules.retention_ms:
         return Refuse(
             outcomes.Unknown(
                 outcomes.Reason.TICKET_LOST,
@@ -125,7 +125,7 @@
                 "the ticket ended unused; take a new one",
             )
         )
-    if len(book.uses) >= rules.marks_most:
+    if len(book.uses) >= rules.max_marks:
         return Refuse(
             outcomes.NotRun(
                 outcomes.Reason.OVERLOADED,
@@ -150,12 +150,14 @@
     return Replay(use.outcome)
 
 
-def mark_used(book: Book, right: str, expires_ms: int) -> None:
+def mark_used(book: RightsTable, right: str, expires_ms: int) -> None:
     """Note that the right is spent, before the first byte goes out."""
     book.uses[right] = Use(expires_ms=expires_ms)
 
 
-def end_use(book: Book, right: str, outcome: outcomes.Outcome) -> None:
+def record_outcome(
+    book: RightsTable, right: str, outcome: outcomes.Outcome
+) -> None:
     """Keep the outcome of a run, or free a right that was surely not run.
 
     Only ``NotRun`` frees it: the dispatcher says that only when no byte
@@ -170,33 +172,34 @@
     book.uses[right] = attrs.evolve(use, ended=True, outcome=outcome)
 
 
-def forget_old(book: Book, wall_ms: int, rules: Rules) -> None:
+def drop_expired(book: RightsTable, wall_ms: int, rules: Rules) -> None:
     """Drop ended marks past their time, and the oldest answers over the bound.
 
-    A mark goes only when ``present`` would refuse its right as lost: one
+    A mark goes only when ``decide`` would refuse its right as lost: one
     dropped earlier would make a used ticket look unused.
     """
-    horizon = wall_ms - rules.kept_ms - rules.skew_ms
+    horizon = wall_ms - rules.retention_ms - rules.skew_ms
     book.uses = {
         right: use
         for right, use in book.uses.items()
         if use.expires_ms >= horizon or not use.ended
     }
     answered = [r for r, use in book.uses.items() if use.outcome is not None]
-    for right in answered[: max(0, len(answered) - rules.answers_most)]:
+    for right in answered[: max(0, len(answered) - rules.max_answers)]:
         book.uses[right] = attrs.evolve(book.uses[right], outcome=None)
 
 
-def forget_issuers(
-    book: Book, wall_ms: int, longest_ms: int, rules: Rules
+def drop_expired_issuers(
+    book: RightsTable, wall_ms: int, longest_ms: int, rules: Rules
 ) -> None:
     """Stop speaking for incarnations whose last rights ended long ago.
 
     Made for VMs that are replaced all day: without it the list would grow
     with every hand-over down the line. ``longest_ms`` is how long any right
-    lasts; past it and ``kept_ms`` a resend is answered as lost either way.
+    lasts; past it and ``retention_ms`` a resend is answered as lost either
+    way.
     """
-    horizon = wall_ms - longest_ms - rules.kept_ms - 2 * rules.skew_ms
+    horizon = wall_ms - longest_ms - rules.retention_ms - 2 * rules.skew_ms
     for issuer, left_ms in list(book.left_ms.items()):
         if left_ms < horizon:
             book.adopted.discard(issuer)
@@ -211,12 +214,12 @@
     uses: dict[str, Use]
 
 
-def name_heir(
-    book: Book, self_id: tuple[str, str], heir: tuple[str, str]
+def assign_heir(
+    book: RightsTable, self_id: tuple[str, str], heir: tuple[str, str]
 ) -> HandOver | None:
     """Give all rights away, once; None if that was done before.
 
-    From here on ``present`` only relays. The heir is set before anything
+    From here on ``decide`` only relays. The heir is set before anything
     is sent, so whether the message arrives makes no difference to safety:
     at most one book ever speaks for a right. A run that is still under way
     goes over as spent with no answer.
@@ -231,7 +234,7 @@
     return HandOver(issuers=frozenset(book.adopted | {self_id}), uses=uses)
 
 
-def adopt(book: Book, given: HandOver) -> bool:
+def adopt(book: RightsTable, given: HandOver) -> bool:
     """Take over a leaving node's rights; False if this one gave up its own.
 
     Marks are taken before the issuers, and none that is here is replaced.
--- a/src/carawayward/protocol/topology.py
+++ b/src/carawayward/protocol/topology.py
@@ -14,13 +14,13 @@
 
 # Up to this many entry VMs all link to all: today's deployments have 8 or 9,
 # and one hop is the fastest way for bills, tickets and configuration.
-FULL_MESH_MOST = 12
+MAX_FULL_MESH_SIZE = 12
 # Chosen links in the own failure domain, besides the ring's: enough that a
 # domain stays in one piece when a few of its VMs vanish together.
-NEAR_LINKS = 2
+OWN_DOMAIN_LINKS = 2
 # Chosen links to each other domain: with tens of VMs to a domain there are
 # tens of bridges, so one each is plenty.
-FAR_LINKS = 1
+OTHER_DOMAIN_LINKS = 1
 
 
 @attrs.frozen
@@ -39,7 +39,7 @@
     Others choose too; a link serves both ways, whoever chose it.
     """
     members = [other for other in others if other.name != me.name]
-    if len(members) < FULL_MESH_MOST:
+    if len(members) < MAX_FULL_MESH_SIZE:
         return frozenset(member.name for member in members)
     domains: dict[str, list[str]] = {}
     for member in members:
@@ -48,9 +48,9 @@
     for domain, names in domains.items():
         if domain == me.failure_domain:
             chosen.add(find_successor(me.name, names))
-            chosen.update(rank(me.name, names)[:NEAR_LINKS])
+            chosen.update(rank(me.name, names)[:OWN_DOMAIN_LINKS])
         else:
-            chosen.update(rank(me.name, names)[:FAR_LINKS])
+            chosen.update(rank(me.name, names)[:OTHER_DOMAIN_LINKS])
     return frozenset(chosen)
 
 
--- a/tests/common/unguarded.py
+++ b/tests/common/unguarded.py
@@ -78,7 +78,7 @@
     "pins": ignore_pins,
     "allowed": allow_all,
     "woken": replace(claims, "may_dispatch", lambda *times: True),
-    "mark": replace(tickets, "present", lambda *words: tickets.Run()),
+    "mark": replace(tickets, "decide", lambda *words: tickets.Run()),
     "recheck": replace(
         dispatch.Dispatcher, "_recheck", lambda self, step: None
     ),
--- a/tests/cover/test_claims.py
+++ b/tests/cover/test_claims.py
@@ -21,9 +21,9 @@
     )
 
 
-def make_group(offset: int, *nodes: str) -> claims.Group:
+def make_group(offset: int, *nodes: str) -> claims.ClaimGroup:
     """A record with these nodes' claims."""
-    return claims.Group(
+    return claims.ClaimGroup(
         offset=offset,
         at_ms=5_000 + offset,
         claims=tuple(make_claim(node) for node in nodes),
@@ -35,7 +35,7 @@
 ) -> claims.ClaimTable:
     """A table whose reader begins at ``oldest``."""
     table = claims.ClaimTable()
-    claims.begin(table, oldest, covered_from_ms)
+    claims.start_reading(table, oldest, covered_from_ms)
     return table
 
 
@@ -90,7 +90,7 @@
 def test_full_table_gives_up_the_right_to_judge_what_it_drops():
     table = make_table()
     claims.fold_claims(table, [make_group(1, "a")])
-    claims.bound_table(table, 0)
+    claims.limit_winners(table, 0)
     assert decide(table, made_ms=5_001) is claims.Verdict.NOT_COVERED
     assert decide(table, made_ms=5_012) is claims.Verdict.CLAIM
 
--- a/tests/cover/test_config_log.py
+++ b/tests/cover/test_config_log.py
@@ -95,7 +95,7 @@
     state = config_log.apply_record(state, 6, stale)
     assert not state.known
     young = attrs.evolve(stale, as_of=5)
-    assert config_log.take_peer_copy(state, young).revision == 2
+    assert config_log.apply_peer_copy(state, young).revision == 2
 
 
 def test_what_a_newcomer_keeps_unjudged_is_bounded():
@@ -104,11 +104,11 @@
     What it drops counts as unread, so a snapshot from before is useless.
     """
     state = config_log.start_reading(2)
-    last = config_log.PENDING_MOST + 4
+    last = config_log.MAX_PENDING_PUBLISHES + 4
     for offset in range(2, last):
         publish = make_publish(offset - 1, float(offset))
         state = config_log.apply_record(state, offset, publish)
-    assert len(state.pending) == config_log.PENDING_MOST
+    assert len(state.pending) == config_log.MAX_PENDING_PUBLISHES
     old = make_publish(0, 1.0)
     early = config_log.Snapshot(
         revision=1, document=old.document, digest=old.digest, as_of=2
@@ -127,11 +127,11 @@
     assert not config_log.contradicts(state, 3)
 
 
-def follow(*records: config_log.Record) -> config_log.Fate:
+def follow(*records: config_log.Record) -> config_log.PublishResult:
     """The fate of the publish "mine" after these records."""
-    state, fate = config_log.start_reading(1), config_log.Fate()
+    state, fate = config_log.start_reading(1), config_log.PublishResult()
     for offset, record in enumerate(records, 1):
-        state, fate = config_log.follow_publish(
+        state, fate = config_log.track_publish(
             state, offset, record, "mine", fate
         )
     return fate
@@ -145,9 +145,9 @@
     """
     mine = attrs.evolve(make_publish(0, 1.0), publish_id="mine")
     other = make_publish(0, 2.0)
-    assert follow(mine, mine) == config_log.Fate(revision=1)
-    assert follow(other, mine) == config_log.Fate(refused=True)
-    assert follow(other) == config_log.Fate()
+    assert follow(mine, mine) == config_log.PublishResult(revision=1)
+    assert follow(other, mine) == config_log.PublishResult(refused=True)
+    assert follow(other) == config_log.PublishResult()
 
 
 def test_snapshot_comes_due_well_before_the_log_forgets_it():
--- a/tests/cover/test_freshness.py
+++ b/tests/cover/test_freshness.py
@@ -26,27 +26,31 @@
     proofs = [100.0, freshness.NEVER, freshness.NEVER]
     for now in range(101, 200):
         asker, asked = now % 3, (now + 1) % 3
-        vouch = freshness.Vouch(revision=1, age_ms=now + 5 - proofs[asked])
-        proofs[asker] = freshness.take_vouch(proofs[asker], now, 1, vouch)
+        vouch = freshness.Attestation(
+            revision=1, age_ms=now + 5 - proofs[asked]
+        )
+        proofs[asker] = freshness.apply_attestation(
+            proofs[asker], now, 1, vouch
+        )
     assert max(proofs) == 100.0
     assert not freshness.is_fresh(max(proofs), 150.0, 50.0)
     assert freshness.is_fresh(max(proofs), 149.9, 50.0)
 
 
 def test_vouch_for_an_unknown_revision_proves_nothing():
-    vouch = freshness.Vouch(revision=7, age_ms=0.0)
-    assert freshness.take_vouch(1.0, 50.0, 6, vouch) == 1.0
-    assert freshness.take_vouch(1.0, 50.0, 7, vouch) == 50.0
+    vouch = freshness.Attestation(revision=7, age_ms=0.0)
+    assert freshness.apply_attestation(1.0, 50.0, 6, vouch) == 1.0
+    assert freshness.apply_attestation(1.0, 50.0, 7, vouch) == 50.0
 
 
 def test_negative_age_is_not_believed():
-    vouch = freshness.Vouch(revision=1, age_ms=-1_000.0)
-    assert freshness.take_vouch(1.0, 50.0, 1, vouch) == 1.0
+    vouch = freshness.Attestation(revision=1, age_ms=-1_000.0)
+    assert freshness.apply_attestation(1.0, 50.0, 1, vouch) == 1.0
 
 
 def test_read_counts_from_when_it_was_sent():
-    assert freshness.take_read(10.0, 40.0) == 40.0
-    assert freshness.take_read(50.0, 40.0) == 50.0
+    assert freshness.apply_read(10.0, 40.0) == 40.0
+    assert freshness.apply_read(50.0, 40.0) == 50.0
 
 
 def test_cut_off_node_freezes_roll_outs_and_goes_on_with_the_rest():
@@ -87,7 +91,7 @@
     next. The intervals have to leave room for one question that is lost.
     """
     for lease_ms in (500, 1_000, 4_000, 4_500, 12_000, 60_000, 600_000):
-        wait_ms = freshness.find_poll_wait(lease_ms)
-        interval_ms = freshness.find_question_interval(lease_ms)
+        wait_ms = freshness.compute_poll_wait_ms(lease_ms)
+        interval_ms = freshness.compute_query_interval_ms(lease_ms)
         oldest_when_asked_ms = 2 * wait_ms
         assert oldest_when_asked_ms + 2 * interval_ms < lease_ms
--- a/tests/cover/test_membership.py
+++ b/tests/cover/test_membership.py
@@ -16,7 +16,7 @@
     failure_domain=strategies.just("d"),
     address=strategies.just("10.0.0.1:1"),
 )
-SEEN = sightings.see_listed(None, "e", "pool", "d", "10.0.0.9:1", False, 0.0)
+SEEN = sightings.merge_listed(None, "e", "pool", "d", "10.0.0.9:1", False, 0.0)
 
 
 @hypothesis.settings(derandomize=True, max_examples=200)
@@ -24,8 +24,8 @@
 def test_members_merge_alike_in_any_order(members, shuffler):
     shuffled = list(members)
     shuffler.shuffle(shuffled)
-    one: dict[str, membership.Heard] = {}
-    two: dict[str, membership.Heard] = {}
+    one: dict[str, membership.KnownMember] = {}
+    two: dict[str, membership.KnownMember] = {}
     for member in members:
         membership.merge_member(one, member, 0.0)
     for member in shuffled + members:
@@ -35,9 +35,9 @@
     }
 
 
-def make_known(count: int) -> dict[str, membership.Heard]:
+def make_known(count: int) -> dict[str, membership.KnownMember]:
     """As many members, all heard of at 0."""
-    known: dict[str, membership.Heard] = {}
+    known: dict[str, membership.KnownMember] = {}
     for number in range(count):
         member = membership.Member(
             name=f"n{number:03}",
@@ -73,7 +73,7 @@
     known = make_known(3)
     records, _ = membership.choose_records(known, {}, 0, 8, 501.0, 1_000.0)
     assert records == []
-    assert len(membership.forget_silent(known, 1_001.0, 1_000.0)) == 3
+    assert len(membership.drop_silent(known, 1_001.0, 1_000.0)) == 3
 
 
 def test_each_endpoint_is_probed_by_three_nodes_of_its_domain():
@@ -81,12 +81,14 @@
     endpoints = [(f"e{number}", f"d{number % 5}") for number in range(100)]
     probed: dict[str, set[str]] = {name: set() for name, _ in endpoints}
     for node in nodes:
-        chosen = membership.choose_probed(endpoints, nodes, node, 3, 40)
+        chosen = membership.choose_probe_targets(endpoints, nodes, node, 3, 40)
         assert len(chosen) < 20
         for name in chosen:
             probed[name].add(node[1])
     assert all(len(domains) == 1 for domains in probed.values())
-    few = membership.choose_probed(endpoints[:40], nodes, nodes[0], 3, 40)
+    few = membership.choose_probe_targets(
+        endpoints[:40], nodes, nodes[0], 3, 40
+    )
     assert len(few) == 40
 
 
@@ -98,11 +100,11 @@
     assert membership.decode_member(row) == member
     assert membership.decode_member(row[:-1]) is None
     assert membership.decode_member([*row[:-1], [["a"]]]) is None
-    fact = sightings.make_fact(attrs.evolve(SEEN, answered_ms=1.0), 4.0)
+    fact = sightings.make_observation(attrs.evolve(SEEN, answered_ms=1.0), 4.0)
     assert fact is not None and fact.age_ms == 3.0
-    encoded = membership.encode_fact(fact)
-    assert membership.decode_fact(encoded) == fact
-    assert membership.decode_fact([*encoded[:-1], -1.0]) is None
+    encoded = membership.encode_observation(fact)
+    assert membership.decode_observation(encoded) == fact
+    assert membership.decode_observation([*encoded[:-1], -1.0]) is None
 
 
 def test_leaving_is_not_taken_back_by_whoever_has_not_heard_yet():
@@ -111,12 +113,18 @@
     Its own report, the next list from a lagging replica and a peer's older
     fact all say that it stays. Work sent to it now would be cut off.
     """
-    seen = sightings.see_listed(SEEN, "e", "pool", "d", SEEN.address, True, 5)
-    seen = sightings.see_report(seen, frozenset(["v"]), 1.0, False, 6.0)
-    seen = sightings.see_listed(seen, "e", "pool", "d", SEEN.address, False, 7)
-    stays = sightings.make_fact(attrs.evolve(SEEN, answered_ms=7.0), 8.0)
+    seen = sightings.merge_listed(
+        SEEN, "e", "pool", "d", SEEN.address, True, 5
+    )
+    seen = sightings.merge_report(seen, frozenset(["v"]), 1.0, False, 6.0)
+    seen = sightings.merge_listed(
+        seen, "e", "pool", "d", SEEN.address, False, 7
+    )
+    stays = sightings.make_observation(
+        attrs.evolve(SEEN, answered_ms=7.0), 8.0
+    )
     assert stays is not None
-    assert sightings.see_fact(seen, stays, 8.0).leaving
+    assert sightings.merge_observation(seen, stays, 8.0).leaving
 
 
 def test_endpoint_that_was_gone_and_came_back_takes_work_again():
@@ -124,30 +132,30 @@
 
     A peer that has not probed it since still passes on the old mark.
     """
-    seen = sightings.see_report(SEEN, frozenset(), 0.0, True, 1.0)
-    old = sightings.make_fact(seen, 1.0)
+    seen = sightings.merge_report(SEEN, frozenset(), 0.0, True, 1.0)
+    old = sightings.make_observation(seen, 1.0)
     assert old is not None
-    for _ in range(sightings.SILENT_PROBES):
-        seen = sightings.see_silence(seen)
-    seen = sightings.see_report(seen, frozenset(["v"]), 0.0, False, 50.0)
+    for _ in range(sightings.MIN_FAILED_PROBES):
+        seen = sightings.record_failed_probe(seen)
+    seen = sightings.merge_report(seen, frozenset(["v"]), 0.0, False, 50.0)
     assert not seen.leaving
     late = attrs.evolve(old, age_ms=59.0)
-    assert not sightings.see_fact(seen, late, 60.0).leaving
+    assert not sightings.merge_observation(seen, late, 60.0).leaving
     again = attrs.evolve(old, age_ms=1.0)
-    assert sightings.see_fact(seen, again, 60.0).leaving
+    assert sightings.merge_observation(seen, again, 60.0).leaving
 
 
 def test_unlisted_endpoint_is_kept_while_it_answers():
-    seen = sightings.see_unlisted(SEEN)
-    assert not sightings.is_kept(seen, 1.0)
-    seen = sightings.see_report(seen, frozenset(["v"]), 0.0, False, 1.0)
-    assert sightings.is_kept(seen, sightings.KEPT_MS)
-    assert not sightings.is_kept(seen, 2 + sightings.KEPT_MS)
+    seen = sightings.mark_unlisted(SEEN)
+    assert not sightings.is_retained(seen, 1.0)
+    seen = sightings.merge_report(seen, frozenset(["v"]), 0.0, False, 1.0)
+    assert sightings.is_retained(seen, sightings.UNLISTED_RETENTION_MS)
+    assert not sightings.is_retained(seen, 2 + sightings.UNLISTED_RETENTION_MS)
 
 
 def test_endpoint_is_known_from_peers_alone():
-    fact = sightings.make_fact(attrs.evolve(SEEN, answered_ms=1.0), 2.0)
+    fact = sightings.make_observation(attrs.evolve(SEEN, answered_ms=1.0), 2.0)
     assert fact is not None
-    learned = sightings.see_fact(None, fact, 100.0)
+    learned = sightings.merge_observation(None, fact, 100.0)
     assert learned.address == SEEN.address
-    assert sightings.is_kept(learned, 100.0)
+    assert sightings.is_retained(learned, 100.0)
--- a/tests/cover/test_peers_protocol.py
+++ b/tests/cover/test_peers_protocol.py
@@ -24,7 +24,7 @@
 ) -> bool:
     """Whether a proof is taken."""
     try:
-        handshake.check_proof(keys, role, challenge, data)
+        handshake.verify_proof(keys, role, challenge, data)
     except errors.NotAuthenticated:
         return False
     return True
--- a/tests/cover/test_tickets.py
+++ b/tests/cover/test_tickets.py
@@ -6,7 +6,9 @@
 from carawayward import outcomes
 from carawayward.protocol import tickets
 
-RULES = tickets.Rules(skew_ms=10, kept_ms=100, marks_most=50, answers_most=2)
+RULES = tickets.Rules(
+    skew_ms=10, retention_ms=100, max_marks=50, max_answers=2
+)
 ANSWER = outcomes.Answered(text="done", version="s", endpoint="e")
 REFUSED = outcomes.NotRun(outcomes.Reason.NO_ENDPOINT, "come back")
 STEPS = strategies.lists(
@@ -17,17 +19,17 @@
 )
 
 
-def present(book: tickets.Book, right: str = "r", wall_ms: int = 0):
+def present(book: tickets.RightsTable, right: str = "r", wall_ms: int = 0):
     """Present a right that expires at 50."""
-    return tickets.present(book, right, 50, wall_ms, RULES)
+    return tickets.decide(book, right, 50, wall_ms, RULES)
 
 
 def test_resend_gets_the_first_answer_also_past_the_ticket_end():
-    book = tickets.Book()
+    book = tickets.RightsTable()
     assert isinstance(present(book), tickets.Run)
     tickets.mark_used(book, "r", 50)
     assert isinstance(present(book), tickets.Wait)
-    tickets.end_use(book, "r", ANSWER)
+    tickets.record_outcome(book, "r", ANSWER)
     assert present(book, wall_ms=120) == tickets.Replay(ANSWER)
 
 
@@ -37,10 +39,10 @@
     The answer and the mark are gone by then. Taking the ticket for an
     unused one would log the swap twice; "not run" would be a lie.
     """
-    book = tickets.Book()
+    book = tickets.RightsTable()
     tickets.mark_used(book, "r", 50)
-    tickets.end_use(book, "r", ANSWER)
-    tickets.forget_old(book, 161, RULES)
+    tickets.record_outcome(book, "r", ANSWER)
+    tickets.drop_expired(book, 161, RULES)
     assert not book.uses
     decision = present(book, wall_ms=161)
     assert isinstance(decision, tickets.Refuse)
@@ -48,11 +50,11 @@
 
 
 def test_answers_go_before_marks_do():
-    book = tickets.Book()
+    book = tickets.RightsTable()
     for right in "abc":
         tickets.mark_used(book, right, 50)
-        tickets.end_use(book, right, ANSWER)
-    tickets.forget_old(book, 0, RULES)
+        tickets.record_outcome(book, right, ANSWER)
+    tickets.drop_expired(book, 0, RULES)
     decision = present(book, "a")
     assert isinstance(decision, tickets.Refuse)
     assert isinstance(decision.outcome, outcomes.Unknown)
@@ -60,15 +62,15 @@
 
 
 def test_right_that_was_surely_not_run_may_be_tried_again():
-    book = tickets.Book()
+    book = tickets.RightsTable()
     tickets.mark_used(book, "r", 50)
-    tickets.end_use(book, "r", REFUSED)
+    tickets.record_outcome(book, "r", REFUSED)
     assert isinstance(present(book), tickets.Run)
 
 
 def test_full_book_refuses_instead_of_dropping_marks():
-    book = tickets.Book()
-    for number in range(RULES.marks_most):
+    book = tickets.RightsTable()
+    for number in range(RULES.max_marks):
         tickets.mark_used(book, str(number), 50)
     decision = present(book)
     assert isinstance(decision, tickets.Refuse)
@@ -81,10 +83,10 @@
     A caller sends its unused ticket to the leaving node, then to the heir.
     Neither may run it on a guess about what the other got.
     """
-    old, heir = tickets.Book(), tickets.Book()
-    given = tickets.name_heir(old, ("a", "1"), ("b", "1"))
+    old, heir = tickets.RightsTable(), tickets.RightsTable()
+    given = tickets.assign_heir(old, ("a", "1"), ("b", "1"))
     assert given is not None
-    assert tickets.name_heir(old, ("a", "1"), ("c", "1")) is None
+    assert tickets.assign_heir(old, ("a", "1"), ("c", "1")) is None
     assert present(old) == tickets.Relay(("b", "1"))
     assert not tickets.holds(heir, ("a", "1"), ("b", "1"))
     assert tickets.adopt(heir, given)
@@ -93,20 +95,20 @@
 
 
 def test_heir_that_has_left_itself_takes_nothing():
-    heir = tickets.Book(heir=("c", "1"))
+    heir = tickets.RightsTable(heir=("c", "1"))
     given = tickets.HandOver(issuers=frozenset([("a", "1")]), uses={})
     assert not tickets.adopt(heir, given)
 
 
 def test_heir_of_many_stops_speaking_for_those_long_gone():
     """VMs are replaced every few minutes for a year, heir after heir."""
-    book = tickets.Book(
+    book = tickets.RightsTable(
         adopted={("a", "1"), ("b", "1")},
         left_ms={("a", "1"): 0, ("b", "1"): 500},
     )
-    tickets.forget_issuers(book, 270, 150, RULES)
+    tickets.drop_expired_issuers(book, 270, 150, RULES)
     assert tickets.holds(book, ("a", "1"), ("c", "1"))
-    tickets.forget_issuers(book, 271, 150, RULES)
+    tickets.drop_expired_issuers(book, 271, 150, RULES)
     assert book.adopted == {("b", "1")} == set(book.left_ms)
 
 
@@ -117,14 +119,14 @@
 
     A run counts unless it ended as surely not run.
     """
-    issuer, heir = tickets.Book(), tickets.Book()
+    issuer, heir = tickets.RightsTable(), tickets.RightsTable()
     wall_ms = runs = 0
     for book, steps in ((issuer, before), (heir, after), (issuer, after)):
         for step in steps:
             if step == "wait":
                 wall_ms += 30
             elif step == "forget":
-                tickets.forget_old(book, wall_ms, RULES)
+                tickets.drop_expired(book, wall_ms, RULES)
             elif step == "present":
                 speaks = book is issuer or ("a", "1") in heir.adopted
                 if speaks and isinstance(
@@ -133,13 +135,13 @@
                     tickets.mark_used(book, "r", 50)
                     runs += 1
             elif step == "answer":
-                tickets.end_use(book, "r", ANSWER)
+                tickets.record_outcome(book, "r", ANSWER)
             elif step == "refuse" and "r" in book.uses:
                 if not book.uses["r"].ended:
-                    tickets.end_use(book, "r", REFUSED)
+                    tickets.record_outcome(book, "r", REFUSED)
                     runs -= 1
         if book is issuer:
-            given = tickets.name_heir(issuer, ("a", "1"), ("b", "1"))
+            given = tickets.assign_heir(issuer, ("a", "1"), ("b", "1"))
             if arrives and given is not None:
                 tickets.adopt(heir, given)
     assert runs <= 1
--- a/tests/model/claims.py
+++ b/tests/model/claims.py
@@ -65,10 +65,10 @@
     )
 
 
-def make_group(world: World, offset: int) -> claims.Group:
+def make_group(world: World, offset: int) -> claims.ClaimGroup:
     """A record of the log."""
     claim = make_claim(*world.log[offset - 1])
-    return claims.Group(offset=offset, at_ms=YOUNG, claims=(claim,))
+    return claims.ClaimGroup(offset=offset, at_ms=YOUNG, claims=(claim,))
 
 
 def restore(world: World, node: Node) -> claims.ClaimTable:
@@ -121,7 +121,7 @@
             yield f"{index} reads a record", read_record(world, index)
         if node.winner and world.now == OLD:
             table = restore(world, node)
-            claims.forget_old(table, world.now + index * SKEW, RULES)
+            claims.drop_expired(table, world.now + index * SKEW, RULES)
             lighter = replace(world, index, write(node, table))
             yield f"{index} forgets", lighter
         if node.sends:
@@ -146,7 +146,7 @@
     if world.oldest <= len(world.log):
         covered_from = float(YOUNG)
     table = restore(world, node)
-    claims.begin(table, world.oldest, covered_from)
+    claims.start_reading(table, world.oldest, covered_from)
     return write(node, table)
 
 
@@ -196,11 +196,11 @@
 def present(world: World, index: int) -> World:
     """The book decides; the mark is set before anything is sent."""
     node = world.nodes[index]
-    book = tickets.Book()
+    book = tickets.RightsTable()
     if node.used:
         tickets.mark_used(book, RIGHT, RULES.window_ms)
     wall = world.now + index * SKEW
-    found = tickets.present(book, RIGHT, RULES.window_ms, wall, BOOK_RULES)
+    found = tickets.decide(book, RIGHT, RULES.window_ms, wall, BOOK_RULES)
     if not isinstance(found, tickets.Run):
         return world
     tickets.mark_used(book, RIGHT, RULES.window_ms)
--- a/tests/model/configuration.py
+++ b/tests/model/configuration.py
@@ -74,7 +74,7 @@
     """A state without its documents."""
     offsets = tuple(offset for offset, _ in state.pending)
     return Reader(
-        state.known, state.revision, state.read_to, state.began, offsets
+        state.known, state.revision, state.read_to, state.first_offset, offsets
     )
 
 
@@ -88,7 +88,7 @@
         revision=reader.revision,
         document=document,
         read_to=reader.read_to,
-        began=reader.began,
+        first_offset=reader.began,
         pending=tuple(
             (offset, make_publish(log[offset - 1]))
             for offset in reader.pending
@@ -159,7 +159,7 @@
     for as_of in range(1, len(world.log) + 1):
         copy = make_snapshot(world.log, (revisions[as_of], as_of))
         state = restore(world.log, reader)
-        taken = write(config_log.take_peer_copy(state, copy))
+        taken = write(config_log.apply_peer_copy(state, copy))
         yield f"it takes a peer's copy of {as_of}", taken
 
 
--- a/tests/model/test_once.py
+++ b/tests/model/test_once.py
@@ -80,7 +80,7 @@
     run = mock.Mock(return_value=tickets_rules.Run())
     spec = claims.make_spec(restarting=0, ages=True)
     assert find_with(claims_rules, "is_too_old", never, spec) == []
-    with mock.patch.object(tickets_rules, "present", run):
+    with mock.patch.object(tickets_rules, "decide", run):
         assert find_with(claims_rules, "is_too_old", never, spec)
 
 
@@ -121,17 +121,17 @@
         book.uses = {r: use for r, use in book.uses.items() if not use.ended}
 
     spec = tickets.SPEC
-    assert find_with(tickets_rules, "forget_old", forget_all, spec)
+    assert find_with(tickets_rules, "drop_expired", forget_all, spec)
 
 
 def test_issuer_that_still_speaks_after_its_hand_over_runs_twice():
     """A stamp is credited twice: issuer and heir both held the ticket."""
 
     def give_and_keep(book, self_id, heir):
-        given = name_heir(book, self_id, heir)
+        given = assign_heir(book, self_id, heir)
         book.heir = None
         return given
 
-    name_heir = tickets_rules.name_heir
+    assign_heir = tickets_rules.assign_heir
     spec = tickets.SPEC
-    assert find_with(tickets_rules, "name_heir", give_and_keep, spec)
+    assert find_with(tickets_rules, "assign_heir", give_and_keep, spec)
--- a/tests/model/tickets.py
+++ b/tests/model/tickets.py
@@ -25,7 +25,7 @@
 CALLER_WAIT = 2
 DISPATCH_WITHIN = 1
 SKEW = 1
-RULES = tickets.Rules(skew_ms=SKEW, kept_ms=2)
+RULES = tickets.Rules(skew_ms=SKEW, retention_ms=2)
 RIGHT = "ticket t"
 ISSUER, HEIR = ("issuer", "1"), ("heir", "1")
 ANSWER = outcomes.Answered(text="done", version="", endpoint="e")
@@ -57,9 +57,9 @@
     told_wrong: bool = False
 
 
-def restore(node: Node, index: int) -> tickets.Book:
+def restore(node: Node, index: int) -> tickets.RightsTable:
     """A node's book."""
-    book = tickets.Book(heir=HEIR if node.gave_away else None)
+    book = tickets.RightsTable(heir=HEIR if node.gave_away else None)
     if node.use is not None:
         book.uses[RIGHT] = node.use
     if node.speaks and index == 1:
@@ -67,7 +67,7 @@
     return book
 
 
-def write(node: Node, index: int, book: tickets.Book) -> Node:
+def write(node: Node, index: int, book: tickets.RightsTable) -> Node:
     """A node with another book."""
     return attrs.evolve(
         node,
@@ -95,7 +95,7 @@
     issuer = world.nodes[0]
     if not issuer.gave_away:
         book = restore(issuer, 0)
-        given = tickets.name_heir(book, ISSUER, HEIR)
+        given = tickets.assign_heir(book, ISSUER, HEIR)
         assert given is not None
         left = replace(world, 0, write(issuer, 0, book))
         parcel = (given.uses.get(RIGHT),)
@@ -106,7 +106,7 @@
         if not world.sent_anew:
             yield f"{NODES[index][0]} is called", take_call(world, index)
         book = restore(node, index)
-        tickets.forget_old(book, world.now + index * SKEW, RULES)
+        tickets.drop_expired(book, world.now + index * SKEW, RULES)
         lighter = replace(world, index, write(node, index, book))
         yield f"{NODES[index][0]} forgets", lighter
         if node.began is not None:
@@ -114,7 +114,7 @@
         elif node.use is not None and not node.use.ended:
             for outcome in (ANSWER, tickets_unknown()):
                 book = restore(node, index)
-                tickets.end_use(book, RIGHT, outcome)
+                tickets.record_outcome(book, RIGHT, outcome)
                 ended = replace(world, index, write(node, index, book))
                 yield f"{NODES[index][0]} ends", ended
 
@@ -144,7 +144,7 @@
     if not tickets.holds(book, ISSUER, NODES[index]):
         return world
     wall = world.now + index * SKEW
-    match tickets.present(book, RIGHT, EXPIRES, wall, RULES):
+    match tickets.decide(book, RIGHT, EXPIRES, wall, RULES):
         case tickets.Run():
             tickets.mark_used(book, RIGHT, EXPIRES)
             node = write(node, index, book)
@@ -162,7 +162,7 @@
     rested = attrs.evolve(node, began=None)
     if not claims.may_dispatch(node.began, world.now, DISPATCH_WITHIN):
         book = restore(rested, index)
-        tickets.end_use(book, RIGHT, NOT_SENT)
+        tickets.record_outcome(book, RIGHT, NOT_SENT)
         return replace(world, index, write(rested, index, book))
     late = world.ran_late or world.sent_anew
     world = replace(world, index, rested)
