--- a/src/carawayward/protocol/__init__.py
+++ b/src/carawayward/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Rules of agreed state: pure state machines and merge functions."""
+"""Distributed protocols: pure state machines and merge functions."""
--- a/src/carawayward/protocol/billing.py
+++ b/src/carawayward/protocol/billing.py
@@ -1,11 +1,13 @@
-"""Bills: at-least-once append, exactly once after a deterministic fold.
-
-A bill may be appended again after a lost answer, and by a buddy after its
-node has gone; the reader keeps the first copy of each key. The log forgets,
-so a copy that came after the first had left the log would be counted by a
-reader that never saw the first. Hence the bound on a bill's age: a bill is
-made before its first append, so for ``retention - append_within`` from then
-on no copy follows and all copies are in the log together.
+"""Bills: appended at least once, counted once by a deterministic fold.
+
+A bill may be appended again after a lost response, and by a buddy (a peer
+that holds a copy) after its node has gone; the reader keeps the first copy
+of each key. The log drops old records, so a copy appended after the first
+one had been dropped would be counted by a reader that never saw the first.
+Hence the limit on a bill's age at an append: copies are appended only
+within ``append_within`` of the bill's creation, which comes before its
+first append, so all copies are in the log together for at least
+``retention - append_within``.
 """
 
 import typing
@@ -27,11 +29,11 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """What makes two bills the same bill."""
+        """Identity of the bill: copies of one bill share it."""
         return self.customer, self.request_key
 
 
-_KINDS: dict[str, tuple[type, ...]] = {
+_FIELD_TYPES: dict[str, tuple[type, ...]] = {
     "customer": (str,),
     "request_key": (str,),
     "version": (str,),
@@ -43,9 +45,10 @@
 
 
 def may_append(bill: Bill, wall_ms: int, within_ms: int, skew_ms: int) -> bool:
-    """Whether a copy may still go to the log.
+    """Whether a copy may still be appended to the log.
 
-    ``skew_ms`` is taken off, since the bill's time is another VM's.
+    ``skew_ms`` is subtracted because ``made_ms`` may come from the clock of
+    another VM.
     """
     return wall_ms - bill.made_ms <= within_ms - skew_ms
 
@@ -59,15 +62,15 @@
 
 
 def encode(bill: Bill) -> dict:
-    """Form of a bill in the log and between peers."""
+    """Encode a bill for the log and for peers."""
     return attrs.asdict(bill)
 
 
 def decode(data: object) -> Bill | None:
-    """Read a bill; None for a record that makes no sense."""
-    if not isinstance(data, dict) or set(data) != set(_KINDS):
+    """Decode a bill; None for a malformed record."""
+    if not isinstance(data, dict) or set(data) != set(_FIELD_TYPES):
         return None
-    for field, kinds in _KINDS.items():
-        if type(data[field]) not in kinds:
+    for field, types in _FIELD_TYPES.items():
+        if type(data[field]) not in types:
             return None
     return Bill(**data)
--- a/src/carawayward/protocol/claims.py
+++ b/src/carawayward/protocol/claims.py
@@ -1,19 +1,21 @@
-"""Claims: who may run a request that its caller named with its own key.
-
-A claim is a record of the log's stream "claims". The first claim of a
-(customer, key) in log order wins, on every reader, so two nodes that got the
-same request at once agree without talking to each other. The winner treats
-the key as a ticket of its own (see ``tickets``); all others ask the winner.
-
-The log forgets. A key therefore states when its caller made it, and no claim
-of it can be older than that, up to clock skew. Two guards follow:
-
-- a key older than the window (well under the log's retention) is never run:
-  its first claim may have left the log;
-- a reader judges only keys made after the oldest record that it has read,
-  so one that started late, or fell behind the log's tail, refuses instead of
-  taking "no claim read" for "no claim made". This also holds for a log that
-  keeps a number of records rather than a time.
+"""Claims: which node may run a request that has a caller's own key.
+
+A claim is appended to the stream "claims" of the log. On every reader, the
+first claim of a (customer, key) in log order wins, so two nodes that receive
+the same request concurrently agree without contacting each other. The winner
+treats the key like a ticket that it issued (see ``tickets``); all others ask
+the winner.
+
+The log drops old records. Each key therefore carries the time at which its
+caller made it; no claim of it can be older than that, up to clock skew. Two
+guards follow:
+
+- a key older than the window (well under the log's retention) is never run,
+  since its first claim may have been dropped from the log;
+- a reader decides only on keys made after the oldest record that it has
+  read. A reader that started late, or fell behind the oldest record of the
+  log, refuses instead of taking "no claim read" for "no claim made". This
+  also holds for a log that retains a number of records rather than a time.
 """
 
 import enum
@@ -24,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class Claim:
-    """A node's wish to run one request; ``made_ms`` is the key's own time."""
+    """A node's request to run a call; ``made_ms`` is when the key was made."""
 
     claim_id: str
     customer: str
@@ -35,13 +37,13 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """What makes two claims compete."""
+        """Claims of one key compete; the first in the log wins."""
         return self.customer, self.request_key
 
 
 @attrs.frozen(kw_only=True)
 class Rules:
-    """Times in ms; ``skew_ms`` bounds any two clocks' difference."""
+    """Times in ms; ``skew_ms`` bounds the difference of any two clocks."""
 
     window_ms: int = 3_600_000
     skew_ms: int = 2_000
@@ -50,10 +52,10 @@
 
 @attrs.frozen(kw_only=True)
 class Winner:
-    """The claim in force for a key, and where it stands in the log.
+    """The winning claim of a key and its position in the log.
 
-    ``at_ms`` is the log's time of the record, ``covered_from_ms`` what the
-    reader's table covered when it took the claim.
+    ``at_ms`` is the log's timestamp of the record, ``covered_from_ms`` that
+    of the reader's table when it read the claim.
     """
 
     claim: Claim
@@ -64,7 +66,7 @@
 
 @attrs.frozen(kw_only=True)
 class ClaimGroup:
-    """One record of the stream: claims in order, and its place and time."""
+    """One record of the stream: a batch of claims in order."""
 
     offset: int
     at_ms: int
@@ -73,10 +75,10 @@
 
 @attrs.define(kw_only=True)
 class ClaimTable:
-    """What a reader of the stream knows.
+    """State of a reader of the stream.
 
-    All claims appended after ``covered_from_ms`` (wall clock, log's time)
-    and up to offset ``read_to`` have been read.
+    It has read all claims that were appended after ``covered_from_ms`` (wall
+    clock of the log), up to offset ``read_to``.
     """
 
     covered_from_ms: float = float("inf")
@@ -85,7 +87,7 @@
 
 
 class Verdict(enum.Enum):
-    """What a node does with a request under a caller's key."""
+    """How a node handles a request with a caller's key."""
 
     CLAIM = "claim"
     RUN_HERE = "run-here"
@@ -98,10 +100,10 @@
 def start_reading(
     table: ClaimTable, oldest: int, covered_from_ms: float
 ) -> None:
-    """Start to read at ``oldest``, at first or after a gap.
+    """Start to read at ``oldest``, initially or after a gap.
 
-    ``covered_from_ms`` is the time of the oldest record kept, or the wall
-    clock if the stream is empty but once held records; whoever reads from
+    ``covered_from_ms`` is the time of the oldest record in the log, or the
+    wall clock if all its records have been dropped. A reader that starts at
     offset 1 has missed nothing.
     """
     table.covered_from_ms = float("-inf") if oldest <= 1 else covered_from_ms
@@ -111,7 +113,7 @@
 def fold_claims(
     table: ClaimTable, groups: typing.Iterable[ClaimGroup]
 ) -> None:
-    """Fold groups in offset order; the first claim of a key wins."""
+    """Fold records in offset order; the first claim of a key wins."""
     for group in groups:
         if group.offset <= table.read_to:
             continue
@@ -127,24 +129,24 @@
 
 
 def drop_expired(table: ClaimTable, wall_ms: int, rules: Rules) -> None:
-    """Drop winners whose keys no node would run any more."""
+    """Drop winners whose keys are too old for any node to run."""
     horizon = wall_ms - rules.window_ms - 2 * rules.skew_ms
-    old = [
+    expired = [
         key
         for key, winner in table.winners.items()
         if winner.claim.made_ms < horizon
     ]
-    for key in old:
+    for key in expired:
         del table.winners[key]
 
 
-def limit_winners(table: ClaimTable, most: int) -> None:
-    """Keep at most ``most`` winners, so that a flood cannot fill memory.
+def limit_winners(table: ClaimTable, max_winners: int) -> None:
+    """Keep at most ``max_winners``, so that a flood cannot exhaust memory.
 
-    The oldest go, and with them the right to judge keys of their time: the
-    table then covers only what came after them.
+    The oldest winners are dropped. The table then covers only the time after
+    them, so that older keys are refused as not covered.
     """
-    surplus = len(table.winners) - most
+    surplus = len(table.winners) - max_winners
     if surplus <= 0:
         return
     for key in list(table.winners)[:surplus]:
@@ -153,20 +155,20 @@
 
 
 def is_too_old(made_ms: int, wall_ms: int, rules: Rules) -> bool:
-    """Whether a key's first claim may have left the log."""
+    """Whether a key's first claim may have been dropped from the log."""
     return made_ms < wall_ms - rules.window_ms
 
 
 def is_from_future(made_ms: int, wall_ms: int, rules: Rules) -> bool:
-    """Whether a key was made later than any honest clock can say.
+    """Whether a key's time is later than clock skew can explain.
 
-    Such a key would stay runnable past the window of its real age.
+    Such a key would be accepted for longer than its window allows.
     """
     return made_ms > wall_ms + rules.skew_ms
 
 
 def is_covered(covered_from_ms: float, made_ms: int, rules: Rules) -> bool:
-    """Whether every claim that a key can have would have been read."""
+    """Whether every possible claim of a key would have been read."""
     return covered_from_ms < made_ms - rules.skew_ms
 
 
@@ -178,15 +180,16 @@
     self_id: tuple[str, str],
     rules: Rules,
 ) -> Verdict:
-    """What to do with a request under ``key``.
+    """Decide how to handle a request with ``key``.
 
-    ``self_id`` is this node's name and incarnation. A claim that is known
-    is followed whatever the key's age: its winner may still have the answer.
+    ``self_id`` is this node's name and incarnation. A known claim is
+    followed whatever the age of the key, since its winner may still have the
+    answer.
 
-    A node that fell behind the log's tail while its own claim was on the way
-    finds that claim first in what is left. It is not run unless the table
-    covered the key when the claim was read, since the one before it may
-    have left the log.
+    A node that fell behind the oldest record of the log while its own claim
+    was in transit finds that claim first among the remaining records. The
+    request is not run unless the table covered the key when the claim was
+    read, since an earlier claim may have been dropped from the log.
     """
     winner = table.winners.get(key)
     if winner is not None:
@@ -205,31 +208,32 @@
     return Verdict.CLAIM
 
 
-def may_dispatch(claimed_ms: float, now_ms: float, limit_ms: float) -> bool:
-    """Whether a winner may still send the first byte.
+def may_dispatch(received_ms: float, now_ms: float, limit_ms: float) -> bool:
+    """Whether the holder of a request may still send its first byte.
 
-    A winner that was paused wakes up believing that it is in charge. Its
-    caller was told "unknown" long ago, has looked, and may have sent the
-    request anew under another key; a run now would double the record. The
-    node asks on both its clocks, since a suspended VM stops the monotonic
-    one and a corrected wall clock may jump.
+    A holder that resumes after a pause still believes that the request is
+    its to run. Meanwhile its caller was told "unknown", may have found no
+    effect of the request, and may have sent it again under another key; a
+    run now would apply it twice. The node checks this on both of its clocks,
+    since the monotonic clock stops while a VM is suspended and a corrected
+    wall clock may jump.
     """
-    return 0 <= now_ms - claimed_ms <= limit_ms
+    return 0 <= now_ms - received_ms <= limit_ms
 
 
 def encode(claims: typing.Sequence[Claim]) -> dict:
-    """Form of a group of claims as one record of the log."""
+    """Encode a group of claims as one record of the log."""
     return {"claims": [list(attrs.astuple(claim)) for claim in claims]}
 
 
 def decode(data: object) -> tuple[Claim, ...]:
-    """Read a record's claims; none for a record that makes no sense."""
+    """Decode a record's claims; malformed claims are left out."""
     if not isinstance(data, dict) or not isinstance(data.get("claims"), list):
         return ()
     names = [field.name for field in attrs.fields(Claim)]
-    found = []
+    decoded = []
     for row in data["claims"]:
         match row:
             case [str(), str(), str(), str(), str(), int()]:
-                found.append(Claim(**dict(zip(names, row, strict=True))))
-    return tuple(found)
+                decoded.append(Claim(**dict(zip(names, row, strict=True))))
+    return tuple(decoded)
--- a/src/carawayward/protocol/config_log.py
+++ b/src/carawayward/protocol/config_log.py
@@ -1,21 +1,21 @@
-"""Configuration as a total order: compare-and-swap by place in the log.
+"""Configuration as a replicated log with compare-and-swap by offset.
 
 Every entry VM folds the same records in the same order with ``apply_record``
-and so reaches the same configuration without electing anyone. Two operators
-who race get one winner, since the second record's base is no longer in
-force at its own place.
-
-The log forgets old records. Snapshots keep the configuration alive; a
-snapshot names in ``as_of`` how far its writer had read. A newcomer that
-began after the first record cannot judge the publishes that it read before
-a snapshot, so it keeps them and replays those past ``as_of``: without that,
-a snapshot by a slow writer would take the newcomer back to an older
+and so reaches the same configuration without electing a leader. Of two
+operators who publish concurrently, one wins: at the offset of the second
+record, its base is no longer in force.
+
+The log drops old records. Snapshots preserve the configuration; ``as_of``
+of a snapshot is the offset up to which its writer had read. A reader that
+started after the first record cannot validate the publishes that it reads
+before a snapshot, so it keeps them and replays those past ``as_of``. Without
+that, a snapshot by a slow writer would revert the reader to an older
 configuration.
 
-A snapshot also proves nothing to a reader that began after its ``as_of``:
-publishes between the two are gone from the log unread, and one of them may
-have taken effect. Such a reader waits for a younger snapshot, or for a
-peer's copy, which is judged by the same rule.
+A snapshot is also unusable for a reader that started after its ``as_of``:
+the publishes between the two have been dropped unread, and one of them may
+have taken effect. Such a reader waits for a newer snapshot, or for a peer's
+copy, which has to pass the same check.
 """
 
 import attrs
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class Publish:
-    """An operator's wish to replace ``base_revision`` by ``document``."""
+    """An operator's request to replace ``base_revision`` by ``document``."""
 
     publish_id: str
     base_revision: int
@@ -37,7 +37,7 @@
 
 @attrs.frozen(kw_only=True)
 class Snapshot:
-    """A copy of what was in force when its writer had read to ``as_of``."""
+    """The configuration in force after its writer had read to ``as_of``."""
 
     revision: int
     document: dict
@@ -48,17 +48,18 @@
 Record = Publish | Snapshot
 
 STREAM = "configuration"
+# Bounds the memory that a reader without a snapshot can be made to use.
 MAX_PENDING_PUBLISHES = 256
 
 
 @attrs.frozen(kw_only=True)
 class ConfigState:
-    """What a reader knows after folding the log up to ``read_to``.
+    """State of a reader that has folded the log up to ``read_to``.
 
     ``known`` is False while the reader has seen neither the beginning of
-    the log nor a snapshot; such a reader serves nothing from the log.
-    ``first_offset`` is the first offset whose record the reader has, in
-    effect or in ``pending``.
+    the log nor a usable snapshot; it then has no configuration from the log.
+    ``first_offset`` is the first offset whose record the reader has
+    accounted for, in its configuration or in ``pending``.
     """
 
     known: bool
@@ -70,9 +71,9 @@
 
 
 def start_reading(oldest: int) -> ConfigState:
-    """State of a reader that begins at offset ``oldest``.
+    """Initial state of a reader that starts at offset ``oldest``.
 
-    Offsets begin at 1; whoever reads from there has missed nothing.
+    Offsets start at 1; a reader that starts there has missed nothing.
     """
     return ConfigState(
         known=oldest <= 1, read_to=oldest - 1, first_offset=oldest
@@ -82,24 +83,25 @@
 def apply_record(
     state: ConfigState, offset: int, record: Record
 ) -> ConfigState:
-    """Fold one record; offsets must rise."""
+    """Fold one record; records up to ``read_to`` are ignored."""
     if offset <= state.read_to:
         return state
     state = attrs.evolve(state, read_to=offset)
     if isinstance(record, Snapshot):
         return _apply_snapshot(state, record)
     if not state.known:
-        return _keep_pending(state, offset, record)
+        return _add_pending(state, offset, record)
     return _apply_publish(state, offset, record)
 
 
-def _keep_pending(
+def _add_pending(
     state: ConfigState, offset: int, record: Publish
 ) -> ConfigState:
-    """Keep a publish that cannot be judged yet, within a bound.
+    """Keep a publish that cannot be validated yet, within a bound.
 
-    Whoever can append could otherwise fill a newcomer's memory. What is
-    dropped counts as never read: only a snapshot past it is taken.
+    Without the bound, a client that can append to the log could exhaust the
+    memory of a new reader. A dropped publish counts as never read: after
+    that, only a snapshot whose ``as_of`` covers it is usable.
     """
     pending = (*state.pending, (offset, record))
     if len(pending) <= MAX_PENDING_PUBLISHES:
@@ -133,10 +135,11 @@
 
 
 def is_usable(state: ConfigState, snapshot: Snapshot) -> bool:
-    """Whether a reader misses nothing between a snapshot and its own start.
+    """Whether a snapshot is intact and leaves no gap to the reader's start.
 
-    A slow writer's snapshot may be older than the oldest record kept; the
-    publishes between the two would be skipped and the reader would revert.
+    A slow writer's snapshot may be older than the oldest record in the log;
+    the publishes between the two would be skipped and the reader would
+    revert to an older configuration.
     """
     if snapshot.as_of < state.first_offset - 1:
         return False
@@ -144,26 +147,26 @@
 
 
 def apply_peer_copy(state: ConfigState, copy: Snapshot) -> ConfigState:
-    """Use a peer's copy as a snapshot that did not come through the log.
+    """Apply a peer's copy like a snapshot that did not come from the log.
 
-    It counts only for a reader that knows nothing yet; one that knows folds
-    the records itself and reaches the same state.
+    It has an effect only for a reader without a configuration; any other
+    folds the records itself and reaches the same state.
     """
     return _apply_snapshot(state, copy)
 
 
 def contradicts(state: ConfigState, revision: int) -> bool:
-    """Whether a peer's revision cannot be, by what this reader has folded.
+    """Whether a peer's revision conflicts with the records folded here.
 
-    A revision that this reader has read past and that is above the one it
-    found in force is no revision; taking it would put a refused document
-    into force.
+    A publish at an offset that this reader has read, above the revision that
+    it found in force, was rejected; accepting it from a peer would put a
+    rejected document into force.
     """
     return state.known and state.revision < revision <= state.read_to
 
 
 def is_valid(revision: int, record: Publish) -> bool:
-    """Whether a publish takes effect where ``revision`` is in force."""
+    """Whether a publish takes effect while ``revision`` is in force."""
     if record.base_revision != revision:
         return False
     if declaration.digest_document(record.document) != record.digest:
@@ -176,7 +179,7 @@
 
 
 def make_snapshot(state: ConfigState) -> Snapshot | None:
-    """A snapshot of what a reader knows; None if it knows nothing."""
+    """Make a snapshot of a reader's state; None if it has none."""
     if not state.known or state.document is None:
         return None
     return Snapshot(
@@ -189,10 +192,10 @@
 
 @attrs.frozen(kw_only=True)
 class PublishResult:
-    """What reading on has shown of one publish.
+    """What the records read so far show about one publish.
 
-    ``revision`` is its offset once it took effect; ``refused`` says that it
-    was read and was not valid at its place.
+    ``revision`` is its offset once it has taken effect; ``refused`` means
+    that it was read and was not valid at its offset.
     """
 
     revision: int | None = None
@@ -204,19 +207,19 @@
     offset: int,
     record: Record,
     publish_id: str,
-    fate: PublishResult,
+    result: PublishResult,
 ) -> tuple[ConfigState, PublishResult]:
-    """Fold one record and note what it means for a publish.
+    """Fold one record and update the result of a publish.
 
-    An append whose answer was lost may be in the log, may come into it late,
-    and may be in it twice after a retry. The base makes a second copy
-    invalid once the first has taken effect, so "took effect" is final and
-    "refused" holds only until then.
+    After an append whose response was lost, the publish may be in the log,
+    may reach it late, and may be in it twice after a retry. Its base makes a
+    second copy invalid once the first has taken effect, so "took effect" is
+    final, while "refused" may still be replaced by it.
     """
     after = apply_record(state, offset, record)
-    mine = isinstance(record, Publish) and record.publish_id == publish_id
-    if not mine or fate.revision is not None:
-        return after, fate
+    is_own = isinstance(record, Publish) and record.publish_id == publish_id
+    if not is_own or result.revision is not None:
+        return after, result
     if after.revision == offset:
         return after, PublishResult(revision=offset)
     return after, PublishResult(refused=True)
@@ -228,36 +231,36 @@
     snapshot_offset: int,
     snapshot_age_ms: float,
     retention_ms: float,
-    spread: float,
+    jitter: float,
 ) -> bool:
-    """Whether the configuration should be appended again.
+    """Whether a new snapshot should be appended.
 
-    By age: between a sixth and a quarter of the retention, spread over the
-    nodes by ``spread`` (0 to 1), so that one appends and the others see it.
-    By count, for a log that keeps a number of records: once more than half
-    of what is kept is younger than the newest snapshot.
+    By age, after a sixth to a quarter of the log's retention time; ``jitter``
+    (0 to 1) differs between the nodes, so that one appends and the others see
+    its snapshot. By count, for a log that retains a number of records, once
+    more than half of the retained records are newer than the last snapshot.
     """
-    if snapshot_age_ms > retention_ms * (2 + spread) / 12:
+    if snapshot_age_ms > retention_ms * (2 + jitter) / 12:
         return True
     return oldest > 1 and snapshot_offset < oldest + (read_to - oldest) / 2
 
 
 def encode(record: Record) -> dict:
-    """Form of a record in the log."""
+    """Encode a record for the log."""
     kind = "publish" if isinstance(record, Publish) else "snapshot"
     return {"kind": kind, **attrs.asdict(record, recurse=False)}
 
 
 def decode(data: object) -> Record | None:
-    """Read a record of the log; None for one that makes no sense."""
+    """Decode a record of the log; None for a malformed one."""
     if not isinstance(data, dict):
         return None
     fields = {key: value for key, value in data.items() if key != "kind"}
-    kinds = {"publish": Publish, "snapshot": Snapshot}
-    kind = kinds.get(str(data.get("kind")))
-    if kind is None or not isinstance(fields.get("document"), dict):
+    types = {"publish": Publish, "snapshot": Snapshot}
+    record_type = types.get(str(data.get("kind")))
+    if record_type is None or not isinstance(fields.get("document"), dict):
         return None
     try:
-        return kind(**fields)
+        return record_type(**fields)
     except TypeError:
         return None
--- a/src/carawayward/protocol/handshake.py
+++ b/src/carawayward/protocol/handshake.py
@@ -1,13 +1,13 @@
-"""How entry VMs prove to each other who they are: challenge and response.
+"""Mutual authentication of entry VMs by challenge and response.
 
-Each side picks a nonce and the other signs it, together with what it says
-of itself, under a common key. A recorded handshake is of no use later,
-since the next challenge differs; and an answer cannot be sent back to its
-maker, since each role signs under its own label.
+Each side picks a nonce, and the other signs it together with its own
+identity under a shared key. A recorded handshake cannot be replayed, since
+the next challenge differs, and a response cannot be reflected to its
+sender, since each role signs under its own label.
 
-Keys are rotated without a gap: add the new key as the second one on every
-entry VM (it is accepted), then make it the first (it is used), then drop
-the old one.
+To rotate keys without an interruption, add the new key as the second one on
+every entry VM (it is accepted), then make it the first (it is used), then
+remove the old one.
 """
 
 import hashlib
@@ -24,12 +24,12 @@
 MAX_MESSAGE_BYTES = 4_096
 DIALLER = b"carawayward dialler"
 LISTENER = b"carawayward listener"
-REMEDY = "give both entry VMs a common key in keys.peers"
+REMEDY = "configure a shared key in keys.peers on both entry VMs"
 
 
 @attrs.frozen
 class Identity:
-    """What an entry VM says of itself."""
+    """The identity that an entry VM claims."""
 
     name: str
     incarnation: str
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class Proof:
-    """An identity, its holder's own challenge and the signature."""
+    """An identity, the sender's own challenge and the signature."""
 
     identity: Identity
     nonce: bytes
@@ -49,7 +49,7 @@
 def sign(
     key: str, role: bytes, challenge: bytes, nonce: bytes, identity: Identity
 ) -> bytes:
-    """The signature of one role over both nonces and the identity."""
+    """Sign both nonces and the identity in one role."""
     text = cbor2.dumps([role, challenge, nonce, *attrs.astuple(identity)])
     return hmac.digest(key.encode(), text, hashlib.sha256)
 
@@ -61,7 +61,7 @@
     nonce: bytes,
     identity: Identity,
 ) -> bytes:
-    """Encode a proof, signed with the newest key."""
+    """Return an encoded proof, signed with the newest key."""
     signature = sign(keys[0], role, challenge, nonce, identity)
     return cbor2.dumps([*attrs.astuple(identity), nonce, signature])
 
@@ -69,20 +69,22 @@
 def verify_proof(
     keys: typing.Sequence[str], role: bytes, challenge: bytes, data: object
 ) -> Proof:
-    """Read a proof and check it against all keys, or raise."""
+    """Decode a proof and verify it; raise NotAuthenticated if no key fits."""
     proof = decode_proof(data)
     for key in keys:
         expected = sign(key, role, challenge, proof.nonce, proof.identity)
         if hmac.compare_digest(expected, proof.signature):
             return proof
     raise errors.NotAuthenticated(
-        f"the peer did not prove who it is; {REMEDY}"
+        f"the peer's signature fits none of the keys; {REMEDY}"
     )
 
 
 def decode_proof(data: object) -> Proof:
-    """Decode a proof; raise NotAuthenticated for anything else."""
-    fault = errors.NotAuthenticated(f"the peer sent no proof; {REMEDY}")
+    """Decode a proof; raise NotAuthenticated if it is malformed."""
+    fault = errors.NotAuthenticated(
+        f"the peer sent a malformed proof; {REMEDY}"
+    )
     if not isinstance(data, bytes) or len(data) > MAX_MESSAGE_BYTES:
         raise fault
     try:
@@ -98,8 +100,8 @@
             bytes() as nonce,
             bytes() as signature,
         ]:
-            words = (name, incarnation, failure_domain, address)
-            fits = all(0 < len(word) <= MAX_NAME_LENGTH for word in words)
+            names = (name, incarnation, failure_domain, address)
+            fits = all(0 < len(each) <= MAX_NAME_LENGTH for each in names)
             if fits and len(nonce) == NONCE_BYTES:
-                return Proof(Identity(*words), nonce, signature)
+                return Proof(Identity(*names), nonce, signature)
     raise fault
--- a/src/carawayward/protocol/membership.py
+++ b/src/carawayward/protocol/membership.py
@@ -1,13 +1,13 @@
-"""Membership: facts about entry VMs and endpoints, and how they merge.
+"""Gossip membership: records of entry VMs and observations of endpoints.
 
-Each entry VM writes one record about itself; all others only carry it. A
-merge keeps the newer record by (start of the incarnation, sequence), so the
-order and number of deliveries make no difference, and a restarted name
-replaces what was known of it before.
+Each entry VM writes one record about itself; all others only forward it. A
+merge keeps the newer record by (start of the incarnation, incarnation,
+sequence), so it does not depend on the order or number of deliveries, and
+the record of a restarted entry VM replaces that of its earlier incarnation.
 
-Work per node is constant: a node sends a fixed number of records a second
-whatever happens, first those that changed lately, then the rest in turn.
-The bound is the control budget of 6 KB a second a node at 410 nodes.
+The work per node is constant: a node sends a fixed number of records per
+second, first those that changed recently, then the others round-robin. The
+budget for control traffic is 6 KB per second and node at 410 nodes.
 """
 
 import hashlib
@@ -18,10 +18,10 @@
 
 @attrs.frozen(kw_only=True)
 class Member:
-    """What an entry VM says about itself.
+    """Record that an entry VM writes about itself.
 
-    ``heir_of`` lists incarnations whose tickets it took over; ``started_ms``
-    is the wall clock at its start.
+    ``heir_of`` lists the incarnations whose tickets it took over;
+    ``started_ms`` is the wall-clock time of its start.
     """
 
     name: str
@@ -36,13 +36,13 @@
 
     @property
     def rank(self) -> tuple[int, str, int]:
-        """Order in which records of one name replace each other."""
+        """Sort key: of two records of one name, the higher one is newer."""
         return self.started_ms, self.incarnation, self.sequence
 
 
 @attrs.frozen(kw_only=True)
 class KnownMember:
-    """A member's record and when this node last saw it rise (own clock)."""
+    """A member's newest record, and when it arrived on this node's clock."""
 
     member: Member
     updated_ms: float
@@ -51,7 +51,7 @@
 def merge_member(
     known: dict[str, KnownMember], member: Member, now_ms: float
 ) -> bool:
-    """Take a record; whether it was newer than what was known."""
+    """Merge a record; return whether it was newer than the known one."""
     current = known.get(member.name)
     if current is not None and current.member.rank >= member.rank:
         return False
@@ -60,18 +60,18 @@
 
 
 def drop_silent(
-    known: dict[str, KnownMember], now_ms: float, silence_ms: float
+    known: dict[str, KnownMember], now_ms: float, silence_timeout_ms: float
 ) -> list[str]:
-    """Drop and return members whose records have not risen for long.
+    """Drop members without a newer record within the timeout; return them.
 
-    Old records must not go round for ever between nodes that each forget
-    and relearn them: ``choose_records`` passes on no record that is past
-    half of the silence, so that it dies out within the other half.
+    Old records must not circulate for ever between nodes that each drop and
+    relearn them. ``choose_records`` therefore forwards no record older than
+    half of the timeout, so that it disappears within the other half.
     """
     silent = [
         name
-        for name, heard in known.items()
-        if now_ms - heard.updated_ms > silence_ms
+        for name, member in known.items()
+        if now_ms - member.updated_ms > silence_timeout_ms
     ]
     for name in silent:
         del known[name]
@@ -84,12 +84,13 @@
     cursor: int,
     count: int,
     now_ms: float,
-    silence_ms: float,
+    silence_timeout_ms: float,
 ) -> tuple[list[Member], int]:
-    """Records to send in one round, and the cursor for the next.
+    """Choose the records to send in one round, and the next round's cursor.
 
-    ``changed`` holds names and in how many more rounds they go first; it
-    is brought up to date. The rest of ``count`` is filled in turn.
+    ``changed`` maps each name that takes precedence to the number of rounds
+    in which it still does; it is updated in place. The rest of ``count`` is
+    filled round-robin from ``cursor``.
     """
     urgent = [name for name in changed if name in known][:count]
     for name in list(changed):
@@ -100,25 +101,25 @@
             if changed[name] <= 0:
                 del changed[name]
     names = sorted(known)
-    picked = list(urgent)
+    selected = list(urgent)
     for step in range(len(names)):
-        if len(picked) >= count:
+        if len(selected) >= count:
             break
         name = names[(cursor + step) % len(names)]
-        young = now_ms - known[name].updated_ms <= silence_ms / 2
-        if name not in urgent and young:
-            picked.append(name)
-    advance = len(picked) - len(urgent)
-    following = (cursor + max(advance, 1)) % max(1, len(names))
-    return [known[name].member for name in picked], following
+        recent = now_ms - known[name].updated_ms <= silence_timeout_ms / 2
+        if name not in urgent and recent:
+            selected.append(name)
+    advance = len(selected) - len(urgent)
+    next_cursor = (cursor + max(advance, 1)) % max(1, len(names))
+    return [known[name].member for name in selected], next_cursor
 
 
 @attrs.frozen(kw_only=True)
 class EndpointObservation:
-    """What one probe of an endpoint showed.
+    """Result of one probe of an endpoint, as sent between peers.
 
-    ``age_ms`` is how long ago, at the sender; ages add up on the way, so no
-    clocks are compared.
+    ``age_ms`` is its age when it was sent. Each forwarding node adds the
+    time that it held it, so clocks of different nodes are never compared.
     """
 
     name: str
@@ -140,10 +141,10 @@
 def choose_highest(
     names: typing.Iterable[str], key: str, count: int
 ) -> list[str]:
-    """The ``count`` names with the highest scores, best first.
+    """The ``count`` names with the highest scores, highest first.
 
-    All who know the same names choose alike; when a name goes, only its
-    own keys move.
+    All nodes that know the same names choose alike; when a name is removed,
+    only its own keys move.
     """
     return sorted(names, key=lambda name: score(name, key), reverse=True)[
         :count
@@ -155,72 +156,72 @@
     members: typing.Iterable[tuple[str, str]],
     self_id: tuple[str, str],
     probers: int,
-    all_most: int,
+    max_probed_by_all: int,
 ) -> list[str]:
-    """Endpoints that this node probes itself.
+    """Choose the endpoints that this node probes.
 
     ``endpoints``, ``members`` and ``self_id`` are (name, failure domain).
-    Up to ``all_most`` endpoints, every node probes all. Beyond that, every
-    node probing all would be 410 x 790 probes a second at the target size,
-    so each endpoint is probed by ``probers`` nodes of its own domain, and
-    by nodes of any domain where its own has none. Three probers, so that
-    one frozen and one replaced at once leave one.
+    Up to ``max_probed_by_all`` endpoints are all probed by every node. With
+    more, that would be 410 x 790 probes per second at the target size, so
+    each endpoint is probed by ``probers`` nodes of its own domain, or of any
+    domain if its own has none. With three probers, one still probes while
+    another is frozen and the third is being replaced.
     """
     endpoints = list(endpoints)
-    if len(endpoints) <= all_most:
+    if len(endpoints) <= max_probed_by_all:
         return [name for name, _ in endpoints]
     nodes = {*members, self_id}
     by_domain: dict[str, list[str]] = {}
     for name, domain in nodes:
         by_domain.setdefault(domain, []).append(name)
-    everyone = [name for name, _ in nodes]
+    all_names = [name for name, _ in nodes]
     return [
         name
         for name, domain in endpoints
         if self_id[0]
-        in choose_highest(by_domain.get(domain, everyone), name, probers)
+        in choose_highest(by_domain.get(domain, all_names), name, probers)
     ]
 
 
 def encode_member(member: Member) -> list:
-    """Short form of a record between peers."""
+    """Encode a member record as a row for peers."""
     row = list(attrs.astuple(member, recurse=False))
     row[-1] = [list(pair) for pair in member.heir_of]
     return row
 
 
 def decode_member(row: object) -> Member | None:
-    """Read a record; None for one that makes no sense."""
-    kinds = (str, str, int, int, str, str, bool, int, list)
-    if not isinstance(row, list) or len(row) != len(kinds):
+    """Decode a member record; None for a malformed row."""
+    types = (str, str, int, int, str, str, bool, int, list)
+    if not isinstance(row, list) or len(row) != len(types):
         return None
-    for value, kind in zip(row, kinds, strict=True):
-        if type(value) is not kind:
+    for value, expected in zip(row, types, strict=True):
+        if type(value) is not expected:
             return None
-    heirs = []
+    issuers = []
     for pair in row[-1]:
         match pair:
             case [str() as name, str() as incarnation]:
-                heirs.append((name, incarnation))
+                issuers.append((name, incarnation))
             case _:
                 return None
     fields = [field.name for field in attrs.fields(Member)]
     values = dict(zip(fields, row, strict=True))
-    values["heir_of"] = tuple(heirs)
+    values["heir_of"] = tuple(issuers)
     return Member(**values)
 
 
-def encode_observation(fact: EndpointObservation) -> list:
-    """Short form of an endpoint's fact between peers."""
+def encode_observation(observation: EndpointObservation) -> list:
+    """Encode an observation as a row for peers."""
     return [
-        *attrs.astuple(fact)[:4],
-        list(fact.versions),
-        *attrs.astuple(fact)[5:],
+        *attrs.astuple(observation)[:4],
+        list(observation.versions),
+        *attrs.astuple(observation)[5:],
     ]
 
 
 def decode_observation(row: object) -> EndpointObservation | None:
-    """Read an endpoint's fact; None for one that makes no sense."""
+    """Decode an observation; None for a malformed row."""
     match row:
         case [
             str() as name,
--- a/src/carawayward/protocol/sightings.py
+++ b/src/carawayward/protocol/sightings.py
@@ -1,14 +1,15 @@
-"""What a node makes of an endpoint, from the list, probes and peers.
+"""State of an endpoint, merged from the list, probes and peers.
 
 Each source may be wrong or late, so they are merged by what each can prove:
 
-- ``leaving`` only grows: the list, the endpoint itself or a peer may say it
-  first, and none can take it back, since another may not have heard yet.
-  Only an endpoint that was silent to this node's own probes and then answers
-  that it stays, while the list agrees, counts as started anew;
-- presence in the list keeps an endpoint; absence does not remove one that
-  still answers, since the list lags and may be wrong;
-- with no list at all, what peers have seen lately is enough to know it.
+- ``leaving`` is sticky: the list, the endpoint itself or a peer may report
+  it first, and a source that does not report it cannot clear it, since it
+  may not have learned of it yet. An endpoint counts as restarted only if it
+  failed this node's own probes and then answers one as not leaving, while
+  the list agrees;
+- an endpoint in the list is retained; one that is missing from the list is
+  not removed while it still answers, since the list lags and may be wrong;
+- without any list, recent observations of peers are enough to add one.
 """
 
 import attrs
@@ -16,18 +17,23 @@
 from carawayward.protocol import freshness
 from carawayward.protocol import membership
 
-# An unlisted endpoint is kept for this long after it last answered anybody.
+# An unlisted endpoint is retained for this long after its last answer to any
+# node.
 UNLISTED_RETENTION_MS = 10_000.0
+# Consecutive failed probes after which a leaving endpoint that answers as not
+# leaving counts as restarted.
 MIN_FAILED_PROBES = 2
 
 
 @attrs.frozen(kw_only=True)
 class ObservedEndpoint:
-    """One endpoint; instants are on this node's monotonic clock.
+    """State of one endpoint; times are on this node's monotonic clock.
 
-    ``leaving_seen_ms`` is when leaving was last observed, ``restarted_ms``
-    when the endpoint counted as started anew, ``answered_ms`` when it last
-    answered a probe, of this node or of a peer.
+    ``leaving_seen_ms`` is when it was last observed as leaving,
+    ``restarted_ms`` when it last counted as restarted, ``answered_ms`` when
+    it last answered a probe of this node or of a peer, ``probed_ms`` when it
+    last answered this node. ``failed_probes`` counts this node's probes
+    without an answer since then.
     """
 
     name: str
@@ -55,7 +61,7 @@
     leaving: bool,
     now_ms: float,
 ) -> ObservedEndpoint:
-    """Merge a line of the list; another address is another endpoint."""
+    """Merge an entry of the list; a new address means a new endpoint."""
     if known is None or known.address != address:
         known = ObservedEndpoint(
             name=name,
@@ -70,11 +76,11 @@
         listed=True,
         listed_leaving=leaving,
     )
-    return _leave(known, now_ms) if leaving else known
+    return _mark_leaving(known, now_ms) if leaving else known
 
 
 def mark_unlisted(known: ObservedEndpoint) -> ObservedEndpoint:
-    """The list was read and does not hold this endpoint."""
+    """Record that a list was read that does not contain the endpoint."""
     return attrs.evolve(known, listed=False, listed_leaving=False)
 
 
@@ -85,8 +91,8 @@
     leaving: bool,
     now_ms: float,
 ) -> ObservedEndpoint:
-    """Merge an endpoint's own answer to a probe."""
-    renewed = (
+    """Merge the endpoint's answer to a probe of this node."""
+    restarted = (
         known.leaving
         and not leaving
         and not known.listed_leaving
@@ -100,65 +106,65 @@
         probed_ms=now_ms,
         failed_probes=0,
     )
-    if renewed:
+    if restarted:
         return attrs.evolve(known, leaving=False, restarted_ms=now_ms)
-    return _leave(known, now_ms) if leaving else known
+    return _mark_leaving(known, now_ms) if leaving else known
 
 
 def record_failed_probe(known: ObservedEndpoint) -> ObservedEndpoint:
-    """A probe of this node got no answer."""
+    """Record that a probe of this node got no answer."""
     return attrs.evolve(known, failed_probes=known.failed_probes + 1)
 
 
 def merge_observation(
     known: ObservedEndpoint | None,
-    fact: membership.EndpointObservation,
+    observation: membership.EndpointObservation,
     now_ms: float,
 ) -> ObservedEndpoint:
-    """Merge what a peer saw, or heard of, ``age_ms`` ago."""
-    seen_ms = now_ms - fact.age_ms
+    """Merge an observation that a peer made or received from another."""
+    seen_ms = now_ms - observation.age_ms
     if known is None:
         known = ObservedEndpoint(
-            name=fact.name,
-            pool=fact.pool,
-            failure_domain=fact.failure_domain,
-            address=fact.address,
+            name=observation.name,
+            pool=observation.pool,
+            failure_domain=observation.failure_domain,
+            address=observation.address,
         )
-    if known.address != fact.address:
+    if known.address != observation.address:
         return known
-    if fact.leaving:
+    if observation.leaving:
         if seen_ms <= known.restarted_ms:
             return known
-        known = _leave(known, max(seen_ms, known.leaving_seen_ms))
-    if fact.leaving or seen_ms <= known.answered_ms:
+        known = _mark_leaving(known, max(seen_ms, known.leaving_seen_ms))
+    if observation.leaving or seen_ms <= known.answered_ms:
         return known
     return attrs.evolve(
         known,
-        versions=frozenset(fact.versions),
-        load=fact.load,
+        versions=frozenset(observation.versions),
+        load=observation.load,
         answered_ms=seen_ms,
     )
 
 
-def _leave(known: ObservedEndpoint, seen_ms: float) -> ObservedEndpoint:
+def _mark_leaving(known: ObservedEndpoint, seen_ms: float) -> ObservedEndpoint:
     return attrs.evolve(known, leaving=True, leaving_seen_ms=seen_ms)
 
 
 def is_retained(known: ObservedEndpoint, now_ms: float) -> bool:
-    """Whether the endpoint is still worth knowing."""
+    """Whether the endpoint is listed or was observed recently."""
     if known.listed:
         return True
-    newest = max(known.answered_ms, known.leaving_seen_ms)
-    return now_ms - newest <= UNLISTED_RETENTION_MS
+    last_seen_ms = max(known.answered_ms, known.leaving_seen_ms)
+    return now_ms - last_seen_ms <= UNLISTED_RETENTION_MS
 
 
 def make_observation(
     known: ObservedEndpoint, now_ms: float
 ) -> membership.EndpointObservation | None:
-    """What to tell peers; None if nobody has seen the endpoint.
+    """The observation to send to peers; None if nobody has seen the endpoint.
 
-    A leaving fact carries the age of that observation, so that it cannot
-    overrule a later start of the endpoint.
+    For a leaving endpoint, the age is that of the observation that it is
+    leaving, so that it cannot override a later restart of the endpoint.
     """
     seen_ms = known.leaving_seen_ms if known.leaving else known.answered_ms
     if seen_ms == freshness.NEVER:
--- a/src/carawayward/protocol/tickets.py
+++ b/src/carawayward/protocol/tickets.py
@@ -1,14 +1,15 @@
-"""Tickets: the right of one incarnation to run one request, once.
-
-The book of an incarnation says what became of each right that it holds: its
-own tickets, and keys whose claims it won. A right is marked used before the
-first byte goes out, in memory that only this incarnation has. A pause of any
-length cannot make a second run, since the mark is where the decision is;
-a crash loses book and right together.
-
-Both end. A ticket that has expired is never run, and its mark is kept past
-that by ``retention_ms``; a mark is dropped only when the ticket can no longer
-be taken for an unused one.
+"""Tickets: the right of one incarnation to run one request at most once.
+
+The rights table of an incarnation records the state of each right that it
+holds: the tickets that it issued, and the keys whose claims it won. A right
+is marked as used before the first byte is sent, in memory that only this
+incarnation has. A pause of any length cannot lead to a second run, since the
+decision is made where the mark is; a crash loses the table and with it the
+rights.
+
+Rights and marks both expire. An expired ticket is never run, and its mark is
+retained for ``retention_ms`` beyond that. A mark is dropped only when the
+ticket can no longer be mistaken for an unused one.
 """
 
 import dataclasses
@@ -20,10 +21,11 @@
 
 @attrs.frozen(kw_only=True)
 class Rules:
-    """Times in ms and the most marks that a book holds.
+    """Times in ms, and limits to the size of a rights table.
 
-    The limit bounds memory: a mark takes some 300 bytes, an answer more,
-    so answers are dropped first (``max_answers``), marks never early.
+    The limits bound memory. A mark takes some 300 bytes and an answer more,
+    so answers beyond ``max_answers`` are dropped, while marks are never
+    dropped early: at ``max_marks``, new rights are refused.
     """
 
     skew_ms: int = 2_000
@@ -34,9 +36,11 @@
 
 @attrs.frozen(kw_only=True)
 class Use:
-    """A used right: running, ended with ``outcome``, or its answer dropped.
+    """Mark of a used right.
 
-    ``expires_ms`` is the wall time after which the right is never run.
+    Its run is in progress, or has ended; after the end, ``outcome`` is None
+    if the answer is no longer stored. ``expires_ms`` is the wall-clock time
+    after which the right is never run.
     """
 
     expires_ms: int
@@ -46,12 +50,12 @@
 
 @attrs.define
 class RightsTable:
-    """The rights that one incarnation holds.
+    """State of the rights that one incarnation holds.
 
-    ``adopted`` are incarnations whose rights were handed to this one, and
-    ``heir`` is to whom this one handed its own: (name, incarnation).
-    ``left_ms`` says when an adopted incarnation left (wall clock), as far as
-    that is known.
+    ``uses`` are the marks by right. ``adopted`` are the incarnations whose
+    rights were handed over to this one, and ``heir`` is the incarnation
+    (name, incarnation) to which this one handed over all its rights.
+    ``left_ms`` is when an adopted incarnation left (wall clock), if known.
     """
 
     uses: dict[str, Use] = attrs.field(factory=dict)
@@ -62,31 +66,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """Run it now; the caller of ``decide`` has to mark it used first."""
+    """Run it now; the caller of ``decide`` must first mark it used."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wait:
-    """The first run is under way; its answer is this call's answer."""
+    """The first run is in progress; its outcome answers this call too."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replay:
-    """The first run has ended; give its outcome."""
+    """The first run has ended; return its outcome."""
 
     outcome: outcomes.Outcome
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Relay:
-    """Another incarnation holds the right now; only it may say more."""
+    """Another incarnation holds the right now; forward the call to it."""
 
     to: tuple[str, str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Not run by this call; the outcome says what is known."""
+    """Do not run it; ``outcome`` says what is known about earlier runs."""
 
     outcome: outcomes.Outcome
 
@@ -95,153 +99,156 @@
 
 
 def holds(
-    book: RightsTable, issuer: tuple[str, str], self_id: tuple[str, str]
+    table: RightsTable, issuer: tuple[str, str], self_id: tuple[str, str]
 ) -> bool:
-    """Whether this incarnation's book speaks for an issuer's rights."""
-    return issuer == self_id or issuer in book.adopted
+    """Whether this incarnation holds the rights of an issuer."""
+    return issuer == self_id or issuer in table.adopted
 
 
 def decide(
-    book: RightsTable, right: str, expires_ms: int, wall_ms: int, rules: Rules
+    table: RightsTable, right: str, expires_ms: int, wall_ms: int, rules: Rules
 ) -> Decision:
-    """What to do with a right that this book speaks for."""
-    if book.heir is not None:
-        return Relay(book.heir)
-    use = book.uses.get(right)
+    """Decide on a call with a right that this incarnation holds."""
+    if table.heir is not None:
+        return Relay(table.heir)
+    use = table.uses.get(right)
     if use is not None:
-        return _present_used(use)
+        return _decide_used(use)
     if wall_ms > expires_ms + rules.retention_ms:
         return Refuse(
             outcomes.Unknown(
                 outcomes.Reason.TICKET_LOST,
-                "the ticket ended long ago and what became of it is no "
-                "longer kept; look before you take a new one",
+                "the ticket expired long ago and its outcome is no longer "
+                "stored; check whether the call took effect before you take "
+                "a new ticket",
             )
         )
     if wall_ms > expires_ms:
         return Refuse(
             outcomes.NotRun(
                 outcomes.Reason.KEY_EXPIRED,
-                "the ticket ended unused; take a new one",
+                "the ticket expired unused; take a new one",
             )
         )
-    if len(book.uses) >= rules.max_marks:
+    if len(table.uses) >= rules.max_marks:
         return Refuse(
             outcomes.NotRun(
                 outcomes.Reason.OVERLOADED,
-                "too many requests that may not be repeated; come back",
+                "too many requests that may not be repeated; retry later",
                 5_000,
             )
         )
     return Run()
 
 
-def _present_used(use: Use) -> Decision:
+def _decide_used(use: Use) -> Decision:
     if not use.ended:
         return Wait()
     if use.outcome is None:
         return Refuse(
             outcomes.Unknown(
                 outcomes.Reason.TICKET_LOST,
-                "it was run, and its answer is no longer kept; look before "
-                "you send it anew",
+                "the call was run, but its answer is no longer stored; check "
+                "whether it took effect before you send it again",
             )
         )
     return Replay(use.outcome)
 
 
-def mark_used(book: RightsTable, right: str, expires_ms: int) -> None:
-    """Note that the right is spent, before the first byte goes out."""
-    book.uses[right] = Use(expires_ms=expires_ms)
+def mark_used(table: RightsTable, right: str, expires_ms: int) -> None:
+    """Mark the right as used, before the first byte is sent."""
+    table.uses[right] = Use(expires_ms=expires_ms)
 
 
 def record_outcome(
-    book: RightsTable, right: str, outcome: outcomes.Outcome
+    table: RightsTable, right: str, outcome: outcomes.Outcome
 ) -> None:
-    """Keep the outcome of a run, or free a right that was surely not run.
+    """Store the outcome of a run, or release a right that was not run.
 
-    Only ``NotRun`` frees it: the dispatcher says that only when no byte
-    has left, so the same right may be tried again.
+    Only ``NotRun`` releases it: the dispatcher returns that only if no byte
+    was sent, so that the same right may be tried again.
     """
-    use = book.uses.get(right)
+    use = table.uses.get(right)
     if use is None:
         return
     if isinstance(outcome, outcomes.NotRun):
-        del book.uses[right]
+        del table.uses[right]
         return
-    book.uses[right] = attrs.evolve(use, ended=True, outcome=outcome)
+    table.uses[right] = attrs.evolve(use, ended=True, outcome=outcome)
 
 
-def drop_expired(book: RightsTable, wall_ms: int, rules: Rules) -> None:
-    """Drop ended marks past their time, and the oldest answers over the bound.
+def drop_expired(table: RightsTable, wall_ms: int, rules: Rules) -> None:
+    """Drop expired marks of ended runs, and the oldest answers over the limit.
 
-    A mark goes only when ``decide`` would refuse its right as lost: one
-    dropped earlier would make a used ticket look unused.
+    A mark is dropped only when ``decide`` would refuse its right as lost
+    anyway; dropped earlier, it would make a used ticket look unused.
     """
     horizon = wall_ms - rules.retention_ms - rules.skew_ms
-    book.uses = {
+    table.uses = {
         right: use
-        for right, use in book.uses.items()
+        for right, use in table.uses.items()
         if use.expires_ms >= horizon or not use.ended
     }
-    answered = [r for r, use in book.uses.items() if use.outcome is not None]
+    answered = [r for r, use in table.uses.items() if use.outcome is not None]
     for right in answered[: max(0, len(answered) - rules.max_answers)]:
-        book.uses[right] = attrs.evolve(book.uses[right], outcome=None)
+        table.uses[right] = attrs.evolve(table.uses[right], outcome=None)
 
 
 def drop_expired_issuers(
-    book: RightsTable, wall_ms: int, longest_ms: int, rules: Rules
+    table: RightsTable, wall_ms: int, max_validity_ms: int, rules: Rules
 ) -> None:
-    """Stop speaking for incarnations whose last rights ended long ago.
+    """Drop adopted incarnations whose last rights expired long ago.
 
-    Made for VMs that are replaced all day: without it the list would grow
-    with every hand-over down the line. ``longest_ms`` is how long any right
-    lasts; past it and ``retention_ms`` a resend is answered as lost either
-    way.
+    Where VMs are replaced continuously, the list would otherwise grow with
+    every hand-over from heir to heir. ``max_validity_ms`` is the longest
+    validity of a right; after it and ``retention_ms``, a resend is answered
+    as lost in any case.
     """
-    horizon = wall_ms - longest_ms - rules.retention_ms - 2 * rules.skew_ms
-    for issuer, left_ms in list(book.left_ms.items()):
+    horizon = (
+        wall_ms - max_validity_ms - rules.retention_ms - 2 * rules.skew_ms
+    )
+    for issuer, left_ms in list(table.left_ms.items()):
         if left_ms < horizon:
-            book.adopted.discard(issuer)
-            del book.left_ms[issuer]
+            table.adopted.discard(issuer)
+            del table.left_ms[issuer]
 
 
 @attrs.frozen(kw_only=True)
 class HandOver:
-    """What a leaving incarnation gives to its heir."""
+    """The rights that a leaving incarnation passes to its heir."""
 
     issuers: frozenset[tuple[str, str]]
     uses: dict[str, Use]
 
 
 def assign_heir(
-    book: RightsTable, self_id: tuple[str, str], heir: tuple[str, str]
+    table: RightsTable, self_id: tuple[str, str], heir: tuple[str, str]
 ) -> HandOver | None:
-    """Give all rights away, once; None if that was done before.
+    """Hand over all rights to an heir, once; None if that was done before.
 
-    From here on ``decide`` only relays. The heir is set before anything
-    is sent, so whether the message arrives makes no difference to safety:
-    at most one book ever speaks for a right. A run that is still under way
-    goes over as spent with no answer.
+    From here on, ``decide`` only relays. The heir is set before anything is
+    sent, so safety does not depend on the delivery of the hand-over: at most
+    one incarnation holds a right at any time. A run that is still in
+    progress is handed over as ended without an answer.
     """
-    if book.heir is not None:
+    if table.heir is not None:
         return None
-    book.heir = heir
+    table.heir = heir
     uses = {
         right: attrs.evolve(use, ended=True)
-        for right, use in book.uses.items()
+        for right, use in table.uses.items()
     }
-    return HandOver(issuers=frozenset(book.adopted | {self_id}), uses=uses)
+    return HandOver(issuers=frozenset(table.adopted | {self_id}), uses=uses)
 
 
-def adopt(book: RightsTable, given: HandOver) -> bool:
-    """Take over a leaving node's rights; False if this one gave up its own.
+def adopt(table: RightsTable, handed: HandOver) -> bool:
+    """Take over a leaving node's rights; False if this one has an heir itself.
 
-    Marks are taken before the issuers, and none that is here is replaced.
+    Marks are adopted before the issuers, and existing marks are kept.
     """
-    if book.heir is not None:
+    if table.heir is not None:
         return False
-    for right, use in given.uses.items():
-        book.uses.setdefault(right, use)
-    book.adopted |= given.issuers
+    for right, use in handed.uses.items():
+        table.uses.setdefault(right, use)
+    table.adopted |= handed.issuers
     return True
--- a/src/carawayward/protocol/tokens.py
+++ b/src/carawayward/protocol/tokens.py
@@ -1,7 +1,8 @@
-"""Signed tokens: sessions and tickets that any entry VM can check.
+"""Signed session and ticket tokens that any entry VM can verify.
 
-The token is the state, so restarts and partitions cannot lose it. Signing
-is by itsdangerous; two keys at a time let operators rotate them.
+The token carries its whole state, so restarts and partitions cannot lose
+it. Tokens are signed with itsdangerous; two keys are accepted at a time so
+that operators can rotate them.
 """
 
 import secrets
@@ -16,7 +17,8 @@
 class Session:
     """A session and the versions it is pinned to (model to version).
 
-    ``expires_ms`` is wall time; a token lives no longer than a key does.
+    ``expires_ms`` is wall-clock time; a token is valid no longer than the
+    key that signed it.
     """
 
     session_id: str
@@ -28,11 +30,11 @@
 
 @attrs.frozen(kw_only=True)
 class Ticket:
-    """The right to run one request that may not be repeated.
+    """Permission to run one non-repeatable request.
 
-    Only the incarnation that issued it may run it; that incarnation marks
-    it used in memory before the first byte goes out, so no pause of any
-    length can make a second run.
+    Only the incarnation that issued it may run it. That incarnation marks
+    it used in memory before the first byte is sent, so a pause of any
+    length cannot lead to a second run.
     """
 
     ticket_id: str
@@ -44,21 +46,21 @@
 
 @attrs.frozen
 class Signer:
-    """Signs and checks tokens with the newest key and the one before."""
+    """Signs with the newest key; verifies with it and the previous one."""
 
     keys: tuple[str, ...]
 
     def sign(self, value: Session | Ticket) -> str:
-        """Return an URL-safe token."""
+        """Return a URL-safe token."""
         kind = type(value).__name__
         return self._serializer(kind).dumps(attrs.asdict(value))
 
     def read_session(self, token: str) -> Session:
-        """Check and read a session token."""
+        """Verify and decode a session token."""
         return Session(**self._load("Session", token))
 
     def read_ticket(self, token: str) -> Ticket:
-        """Check and read a ticket; its issuer's book judges its age."""
+        """Verify and decode a ticket; its issuer checks its expiry."""
         return Ticket(**self._load("Ticket", token))
 
     def _load(self, kind: str, token: str) -> dict:
@@ -66,12 +68,12 @@
             return self._serializer(kind).loads(token)
         except itsdangerous.BadData:
             raise errors.InvalidToken(
-                f"the {kind.lower()} token is forged or damaged; open or "
-                "take a new one"
+                f"the {kind.lower()} token is forged or damaged; request a "
+                "new one"
             ) from None
 
     def _serializer(self, kind: str) -> itsdangerous.URLSafeSerializer:
-        # itsdangerous signs with the last key and checks against all.
+        # itsdangerous signs with the last key and verifies against all.
         return itsdangerous.URLSafeSerializer(
             list(reversed(self.keys)), salt=f"carawayward.{kind}"
         )
@@ -80,7 +82,7 @@
 def issue_ticket(
     customer: str, issuer: str, incarnation: str, expires_ms: int
 ) -> Ticket:
-    """Make a ticket with a fresh identity."""
+    """Create a ticket with a new random id."""
     return Ticket(
         ticket_id=secrets.token_hex(12),
         customer=customer,
--- a/src/carawayward/protocol/topology.py
+++ b/src/carawayward/protocol/topology.py
@@ -1,10 +1,10 @@
-"""Which entry VMs link to which.
+"""Choice of the links between entry VMs.
 
-Made for a few hundred entry VMs: a full mesh of 410 would cost each of them
-409 connections and as many heartbeats, and every restart 409 handshakes.
-With a few links each, chosen by rendezvous hashing, a node's cost does not
-depend on the size of the deployment, and one that comes or goes changes
-only links of its own.
+Designed for a few hundred entry VMs: in a full mesh of 410, each would keep
+409 connections with as many heartbeats, and every restart would need 409
+handshakes. With a few links per node, chosen by rendezvous hashing, the cost
+per node does not depend on the size of the deployment, and a node that joins
+or leaves changes only its own links.
 """
 
 import hashlib
@@ -12,20 +12,20 @@
 
 import attrs
 
-# Up to this many entry VMs all link to all: today's deployments have 8 or 9,
-# and one hop is the fastest way for bills, tickets and configuration.
+# Up to this many entry VMs form a full mesh. Today's deployments have 8 or
+# 9, and one hop is the fastest path for bills, tickets and configuration.
 MAX_FULL_MESH_SIZE = 12
-# Chosen links in the own failure domain, besides the ring's: enough that a
-# domain stays in one piece when a few of its VMs vanish together.
+# Links to other VMs of the node's own failure domain, in addition to the
+# ring: enough to keep a domain connected when a few of its VMs fail at once.
 OWN_DOMAIN_LINKS = 2
-# Chosen links to each other domain: with tens of VMs to a domain there are
-# tens of bridges, so one each is plenty.
+# Links to each other domain. With tens of VMs per domain, two domains are
+# joined by tens of links, so one per VM is enough.
 OTHER_DOMAIN_LINKS = 1
 
 
 @attrs.frozen
 class Member:
-    """An entry VM as far as links are concerned."""
+    """An entry VM, reduced to what the choice of links needs."""
 
     name: str
     failure_domain: str
@@ -34,9 +34,10 @@
 def choose_peers(
     me: Member, others: typing.Iterable[Member]
 ) -> frozenset[str]:
-    """The peers that ``me`` keeps a link to, by its own choice.
+    """The peers that ``me`` chooses to link to.
 
-    Others choose too; a link serves both ways, whoever chose it.
+    The other nodes choose as well. A link is bidirectional, whichever side
+    chose it.
     """
     members = [other for other in others if other.name != me.name]
     if len(members) < MAX_FULL_MESH_SIZE:
@@ -55,22 +56,25 @@
 
 
 def rank(name: str, candidates: typing.Iterable[str]) -> list[str]:
-    """Candidates in this node's own order of preference."""
+    """Candidates in the order of preference of the node ``name``."""
     return sorted(candidates, key=lambda other: hash_text(f"{name}>{other}"))
 
 
 def find_successor(name: str, others: typing.Iterable[str]) -> str:
     """The next node on the ring of hashed names.
 
-    Random choices alone leave some node unchosen now and then; the ring
-    runs through all, so a domain whose VMs know one another is connected.
+    Hashed choices alone leave some node unchosen now and then. The ring
+    passes through every node, so a domain whose VMs know one another is
+    connected.
     """
-    here = hash_text(name)
-    size = 1 << 64
-    return min(others, key=lambda other: (hash_text(other) - here) % size)
+    position = hash_text(name)
+    ring_size = 1 << 64
+    return min(
+        others, key=lambda other: (hash_text(other) - position) % ring_size
+    )
 
 
 def hash_text(text: str) -> int:
-    """64 bits that are the same on every node."""
+    """64-bit hash that is the same on every node."""
     digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
