--- a/src/carawayward/protocol/claims.py
+++ b/src/carawayward/protocol/claims.py
@@ -131,12 +131,12 @@
 def drop_expired(table: ClaimTable, wall_ms: int, rules: Rules) -> None:
     """Drop winners whose keys are too old for any node to run."""
     horizon = wall_ms - rules.window_ms - 2 * rules.skew_ms
-    expired = [
+    old = [
         key
         for key, winner in table.winners.items()
         if winner.claim.made_ms < horizon
     ]
-    for key in expired:
+    for key in old:
         del table.winners[key]
 
 
--- a/src/carawayward/protocol/config_log.py
+++ b/src/carawayward/protocol/config_log.py
@@ -217,8 +217,8 @@
     final, while "refused" may still be replaced by it.
     """
     after = apply_record(state, offset, record)
-    is_own = isinstance(record, Publish) and record.publish_id == publish_id
-    if not is_own or result.revision is not None:
+    mine = isinstance(record, Publish) and record.publish_id == publish_id
+    if not mine or result.revision is not None:
         return after, result
     if after.revision == offset:
         return after, PublishResult(revision=offset)
@@ -257,10 +257,10 @@
         return None
     fields = {key: value for key, value in data.items() if key != "kind"}
     types = {"publish": Publish, "snapshot": Snapshot}
-    record_type = types.get(str(data.get("kind")))
-    if record_type is None or not isinstance(fields.get("document"), dict):
+    kind = types.get(str(data.get("kind")))
+    if kind is None or not isinstance(fields.get("document"), dict):
         return None
     try:
-        return record_type(**fields)
+        return kind(**fields)
     except TypeError:
         return None
--- a/src/carawayward/protocol/membership.py
+++ b/src/carawayward/protocol/membership.py
@@ -70,8 +70,8 @@
     """
     silent = [
         name
-        for name, member in known.items()
-        if now_ms - member.updated_ms > silence_timeout_ms
+        for name, heard in known.items()
+        if now_ms - heard.updated_ms > silence_timeout_ms
     ]
     for name in silent:
         del known[name]
@@ -195,8 +195,8 @@
     types = (str, str, int, int, str, str, bool, int, list)
     if not isinstance(row, list) or len(row) != len(types):
         return None
-    for value, expected in zip(row, types, strict=True):
-        if type(value) is not expected:
+    for value, kind in zip(row, types, strict=True):
+        if type(value) is not kind:
             return None
     issuers = []
     for pair in row[-1]:
--- a/src/carawayward/protocol/topology.py
+++ b/src/carawayward/protocol/topology.py
@@ -68,10 +68,8 @@
     connected.
     """
     position = hash_text(name)
-    ring_size = 1 << 64
-    return min(
-        others, key=lambda other: (hash_text(other) - position) % ring_size
-    )
+    size = 1 << 64
+    return min(others, key=lambda other: (hash_text(other) - position) % size)
 
 
 def hash_text(text: str) -> int:
--- a/tests/cover/test_billing.py
+++ b/tests/cover/test_billing.py
@@ -1,4 +1,4 @@
-"""Bills: exactly once in the ledger, whatever is appended how often."""
+"""Tests that the ledger counts each bill exactly once."""
 
 import pathlib
 import tempfile
@@ -12,7 +12,7 @@
 
 
 def make_bill(key: str, cost: float = 1.0, made_ms: int = 0) -> billing.Bill:
-    """A bill of one customer."""
+    """Make a bill of one customer."""
     return billing.Bill(
         customer="families",
         request_key=key,
@@ -36,16 +36,16 @@
 
 @hypothesis.settings(derandomize=True, max_examples=200)
 @hypothesis.given(BILLS, strategies.integers(0, 8))
-def test_appending_again_changes_no_ledger(bills, cut):
-    """A node appends, loses the answer and appends again; buddies too."""
-    again = bills + bills[cut:] + bills
-    assert billing.fold_bills(bills) == billing.fold_bills(again)
+def test_repeated_appends_do_not_change_the_ledger(bills, cut):
+    """Responses to appends are lost; the node and its buddies append again."""
+    repeated = bills + bills[cut:] + bills
+    assert billing.fold_bills(bills) == billing.fold_bills(repeated)
 
 
-def test_bill_that_may_have_left_the_log_is_not_appended():
-    """A cut-off node comes back after days with bills that a buddy appended.
+def test_bill_that_the_log_may_have_dropped_is_not_appended():
+    """A partitioned node returns after days with bills a buddy appended.
 
-    The first copies have been exported and have left the log; a late copy
+    The first copies have been exported and dropped from the log; a late copy
     would be counted again.
     """
     bill = make_bill("a", made_ms=1_000)
@@ -53,7 +53,7 @@
     assert not billing.may_append(bill, 1_091, 100, 10)
 
 
-def test_junk_is_no_bill():
+def test_malformed_bills_are_not_decoded():
     encoded = billing.encode(make_bill("a"))
     assert billing.decode(encoded) == make_bill("a")
     assert billing.decode({**encoded, "cost": "1"}) is None
@@ -63,25 +63,26 @@
 
 
 def open_ledger(folder: str) -> ledger_module.Ledger:
-    """The ledger of a test."""
+    """Open the ledger of a test."""
     return ledger_module.Ledger.from_file(str(pathlib.Path(folder) / "l"))
 
 
-def test_ledger_keeps_each_bill_once_over_many_exports():
+def test_ledger_holds_each_bill_once_after_several_exports():
     with tempfile.TemporaryDirectory() as folder:
         ledger = open_ledger(folder)
         assert ledger.add([make_bill("a"), make_bill("a", 9.0)], 3, 0) == 1
         ledger = open_ledger(folder)
         assert ledger.add([make_bill("a"), make_bill("b")], 5, 0) == 1
-        found = list(open_ledger(folder).read())
-        assert found == [make_bill("a"), make_bill("b")]
-        assert ledger_module.add_up(found)["families"]["cost"] == 2.0
+        stored = list(open_ledger(folder).read())
+        assert stored == [make_bill("a"), make_bill("b")]
+        assert ledger_module.add_up(stored)["families"]["cost"] == 2.0
 
 
-def test_export_that_crashed_before_its_checkpoint_is_done_again():
-    """The machine fails after the bills are written, before the checkpoint.
+def test_export_that_crashed_before_its_checkpoint_is_repeated():
+    """The machine crashes after writing bills and before the checkpoint.
 
-    The next export reads the same bills again; they must not stand twice.
+    The next export reads the same bills again; the ledger must not hold them
+    twice.
     """
     with tempfile.TemporaryDirectory() as folder:
         ledger = open_ledger(folder)
@@ -94,7 +95,7 @@
         assert ledger.path.read_bytes().count(b"\n") == 2
 
 
-def test_gap_and_damage_are_named():
+def test_gaps_and_damage_are_reported():
     with tempfile.TemporaryDirectory() as folder:
         ledger = open_ledger(folder)
         ledger.add([make_bill("a")], 2, 0)
@@ -108,4 +109,4 @@
         except errors.LedgerError as fault:
             assert "damaged" in str(fault)
         else:
-            raise AssertionError("a damaged ledger was taken")
+            raise AssertionError("a damaged ledger was opened")
--- a/tests/cover/test_claims.py
+++ b/tests/cover/test_claims.py
@@ -1,4 +1,4 @@
-"""The rules of claims: the first in the log runs, and nobody else."""
+"""Tests that only the first claim of a key in the log lets a node run it."""
 
 import hypothesis
 from hypothesis import strategies
@@ -10,7 +10,7 @@
 
 
 def make_claim(node: str, made_ms: int = 5_000) -> claims.Claim:
-    """A node's claim of the one key."""
+    """Make a node's claim of the test's key."""
     return claims.Claim(
         claim_id=f"{node}-claim",
         customer=KEY[0],
@@ -22,7 +22,7 @@
 
 
 def make_group(offset: int, *nodes: str) -> claims.ClaimGroup:
-    """A record with these nodes' claims."""
+    """Make a record with one claim of each node."""
     return claims.ClaimGroup(
         offset=offset,
         at_ms=5_000 + offset,
@@ -33,7 +33,7 @@
 def make_table(
     oldest: int = 1, covered_from_ms: float = 0
 ) -> claims.ClaimTable:
-    """A table whose reader begins at ``oldest``."""
+    """Make a table whose reader starts at ``oldest``."""
     table = claims.ClaimTable()
     claims.start_reading(table, oldest, covered_from_ms)
     return table
@@ -45,7 +45,7 @@
     made_ms: int = 5_000,
     wall_ms: int = 5_100,
 ) -> claims.Verdict:
-    """Decide for a node on the one key."""
+    """Call ``claims.decide`` for a node and the test's key."""
     return claims.decide(table, KEY, made_ms, wall_ms, (node, "1"), RULES)
 
 
@@ -56,11 +56,11 @@
     assert decide(table, "b") is claims.Verdict.RUN_HERE
 
 
-def test_restarted_winner_may_not_run_its_old_claim():
-    """The winner crashes after its run and comes back under its name.
+def test_restarted_winner_does_not_run_its_earlier_claim():
+    """The winner crashes after its run and restarts under its name.
 
-    Its book is gone with its incarnation, so it must not take the claim of
-    before for a right that it still holds.
+    Its rights table is lost with its incarnation, so it must not treat the
+    earlier claim as a right that it still holds.
     """
     table = make_table()
     claims.fold_claims(table, [make_group(1, "a")])
@@ -75,11 +75,11 @@
     assert decide(table) is claims.Verdict.CLAIM
 
 
-def test_late_reader_does_not_judge_keys_of_before_its_start():
-    """A new node starts after the log forgot a key's claim.
+def test_late_reader_refuses_keys_from_before_its_start():
+    """A new node starts after the log has dropped a key's claim.
 
-    A caller resends the key to it. "No claim read" is not "no claim made":
-    the swap was logged long ago.
+    A caller resends the key to it. The node must not take "no claim read"
+    for "no claim made", since the request ran long ago.
     """
     table = make_table(oldest=40, covered_from_ms=4_990)
     assert decide(table) is claims.Verdict.NOT_COVERED
@@ -87,7 +87,7 @@
     assert decide(claims.ClaimTable()) is claims.Verdict.NOT_COVERED
 
 
-def test_full_table_gives_up_the_right_to_judge_what_it_drops():
+def test_full_table_no_longer_covers_the_keys_it_drops():
     table = make_table()
     claims.fold_claims(table, [make_group(1, "a")])
     claims.limit_winners(table, 0)
@@ -95,13 +95,13 @@
     assert decide(table, made_ms=5_012) is claims.Verdict.CLAIM
 
 
-def test_woken_holder_may_not_send():
+def test_holder_that_resumes_late_may_not_send():
     assert claims.may_dispatch(1_000, 1_100, 100)
     assert not claims.may_dispatch(1_000, 1_101, 100)
     assert not claims.may_dispatch(1_000, 999, 100)
 
 
-def test_groups_survive_their_encoding():
+def test_claims_are_unchanged_by_encoding_and_decoding():
     group = (make_claim("a"), make_claim("b"))
     assert claims.decode(claims.encode(group)) == group
     assert claims.decode({"claims": [["x"], None]}) == ()
@@ -115,26 +115,27 @@
     strategies.integers(1, 12),
     strategies.integers(5_000, 6_400),
 )
-def test_no_two_nodes_run_one_key_whatever_they_have_read(
+def test_at_most_one_node_runs_a_key_for_any_read_positions(
     order, read_to, oldest, wall_ms
 ):
-    """Three nodes claim in any order and have read to any place.
+    """Three nodes claim a key in any order and have read to any offset.
 
-    One of them began after the log had forgotten what came before
-    ``oldest``. A node runs only with its own claim first in what it read.
+    One of them started after the log had dropped the records before
+    ``oldest``. A node runs the key only if its own claim is the first that
+    it read.
     """
-    groups = [make_group(at, node) for at, node in enumerate(order, 1)]
+    groups = [make_group(offset, node) for offset, node in enumerate(order, 1)]
     running = set()
-    for node, upto in zip("abc", read_to, strict=True):
+    for node, last in zip("abc", read_to, strict=True):
         late = node == "c"
         start = oldest if late else 1
-        kept = [g for g in groups if start <= g.offset <= upto]
-        covered = kept[0].at_ms if kept else wall_ms + RULES.skew_ms
+        in_log = [g for g in groups if start <= g.offset <= last]
+        covered = in_log[0].at_ms if in_log else wall_ms + RULES.skew_ms
         table = make_table(start, covered)
         first = claims.decide(table, KEY, 5_000, wall_ms, (node, "1"), RULES)
         if first is not claims.Verdict.CLAIM:
             continue
-        claims.fold_claims(table, kept)
+        claims.fold_claims(table, in_log)
         if decide(table, node, wall_ms=wall_ms) is claims.Verdict.RUN_HERE:
             running.add(node)
     assert len(running) <= 1
--- a/tests/cover/test_config_log.py
+++ b/tests/cover/test_config_log.py
@@ -1,4 +1,4 @@
-"""The configuration log's rules."""
+"""Tests of the fold of the configuration log."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 
 def make_document(cost: float) -> dict:
-    """The smallest valid document, told apart by a version's cost."""
+    """Make a minimal valid document, distinguished by a version's cost."""
     version = {"name": "v1", "cost": cost, "state": "active"}
     return {
         "format": 1,
@@ -18,7 +18,7 @@
 
 
 def make_publish(base: int, cost: float) -> config_log.Publish:
-    """A publish with a valid digest."""
+    """Make a publish with a valid digest."""
     document = make_document(cost)
     return config_log.Publish(
         publish_id=f"{base}-{cost}",
@@ -29,11 +29,11 @@
     )
 
 
-def test_of_two_racing_publishes_the_first_in_the_log_wins():
-    """Two operators publish at once.
+def test_first_of_two_concurrent_publishes_in_the_log_wins():
+    """Two operators publish concurrently.
 
-    Both drew their document from revision 0. Both see "accepted" by the
-    log, but only the first may take effect, on every node.
+    Both documents are based on revision 0, and the log accepts both appends.
+    Only the first may take effect, on every node.
     """
     state = config_log.start_reading(1)
     state = config_log.apply_record(state, 1, make_publish(0, 1.0))
@@ -42,11 +42,11 @@
     assert state.document == make_document(1.0)
 
 
-def test_newcomer_replays_publishes_past_a_slow_snapshot():
-    """A slow node appends a snapshot that is older than a publish.
+def test_new_reader_replays_publishes_past_a_slow_snapshot():
+    """A slow node appends a snapshot after a publish that it had not read.
 
-    A newcomer that adopts the snapshot as it stands would serve the old
-    configuration, and a withdrawn version with it.
+    A new reader that adopted the snapshot without replaying the publish
+    would serve the old configuration, and with it a withdrawn version.
     """
     old = make_publish(0, 1.0)
     snapshot = config_log.Snapshot(
@@ -59,33 +59,33 @@
     assert state.document == make_document(2.0)
 
 
-def test_newcomer_without_snapshot_knows_nothing():
-    """A reader that starts late must not judge what it sees."""
+def test_new_reader_without_a_snapshot_has_no_configuration():
+    """A reader that starts late cannot validate the publishes it reads."""
     state = config_log.start_reading(6)
     state = config_log.apply_record(state, 6, make_publish(5, 2.0))
     assert not state.known
     assert config_log.make_snapshot(state) is None
 
 
-def test_record_of_another_digest_is_refused():
+def test_publish_with_a_wrong_digest_is_refused():
     """A damaged document must not come into force."""
     state = config_log.start_reading(1)
     damaged = attrs.evolve(make_publish(0, 1.0), digest="0" * 64)
     assert config_log.apply_record(state, 1, damaged).revision == 0
 
 
-def test_records_survive_their_encoding():
-    """What a node appends is what the others read."""
+def test_records_are_unchanged_by_encoding_and_decoding():
+    """Nodes read the records that another node appended."""
     publish = make_publish(0, 1.0)
     assert config_log.decode(config_log.encode(publish)) == publish
     assert config_log.decode({"kind": "publish", "junk": 1}) is None
 
 
-def test_snapshot_older_than_the_readers_first_record_is_not_taken():
-    """A frozen node wakes up and appends a snapshot from long ago.
+def test_snapshot_older_than_the_readers_first_record_is_ignored():
+    """A node resumes after a long pause and appends an outdated snapshot.
 
-    A publish that came after that snapshot's reading has left the log. A
-    newcomer that takes the snapshot would serve what was withdrawn.
+    A publish after the snapshot's ``as_of`` has been dropped from the log. A
+    new reader that used the snapshot would serve a withdrawn version.
     """
     old = make_publish(0, 1.0)
     stale = config_log.Snapshot(
@@ -94,14 +94,15 @@
     state = config_log.start_reading(6)
     state = config_log.apply_record(state, 6, stale)
     assert not state.known
-    young = attrs.evolve(stale, as_of=5)
-    assert config_log.apply_peer_copy(state, young).revision == 2
+    recent = attrs.evolve(stale, as_of=5)
+    assert config_log.apply_peer_copy(state, recent).revision == 2
 
 
-def test_what_a_newcomer_keeps_unjudged_is_bounded():
-    """A flood of publishes reaches a newcomer before a snapshot does.
+def test_pending_publishes_of_a_new_reader_are_bounded():
+    """A new reader reads a flood of publishes before a snapshot.
 
-    What it drops counts as unread, so a snapshot from before is useless.
+    Dropped publishes count as unread, so that an earlier snapshot is not
+    usable.
     """
     state = config_log.start_reading(2)
     last = config_log.MAX_PENDING_PUBLISHES + 4
@@ -118,7 +119,7 @@
     assert config_log.apply_record(state, last, later).revision == last - 1
 
 
-def test_peer_cannot_bring_a_refused_document_into_force():
+def test_peer_cannot_put_a_refused_document_into_force():
     state = config_log.start_reading(1)
     state = config_log.apply_record(state, 1, make_publish(0, 1.0))
     state = config_log.apply_record(state, 2, make_publish(0, 2.0))
@@ -127,35 +128,35 @@
     assert not config_log.contradicts(state, 3)
 
 
-def follow(*records: config_log.Record) -> config_log.PublishResult:
-    """The fate of the publish "mine" after these records."""
-    state, fate = config_log.start_reading(1), config_log.PublishResult()
+def track(*records: config_log.Record) -> config_log.PublishResult:
+    """Return the result of the publish "mine" after these records."""
+    state, result = config_log.start_reading(1), config_log.PublishResult()
     for offset, record in enumerate(records, 1):
-        state, fate = config_log.track_publish(
-            state, offset, record, "mine", fate
+        state, result = config_log.track_publish(
+            state, offset, record, "mine", result
         )
-    return fate
+    return result
 
 
-def test_publish_that_is_in_the_log_twice_took_effect_once():
-    """The answer to an append is lost and the tool appends again.
+def test_publish_that_is_in_the_log_twice_takes_effect_once():
+    """The response to an append is lost and the tool appends again.
 
-    Both copies are in the log. The second is not valid any more, which must
+    Both copies are in the log. The second one is no longer valid, which must
     not be reported to the operator as "another was first".
     """
     mine = attrs.evolve(make_publish(0, 1.0), publish_id="mine")
     other = make_publish(0, 2.0)
-    assert follow(mine, mine) == config_log.PublishResult(revision=1)
-    assert follow(other, mine) == config_log.PublishResult(refused=True)
-    assert follow(other) == config_log.PublishResult()
+    assert track(mine, mine) == config_log.PublishResult(revision=1)
+    assert track(other, mine) == config_log.PublishResult(refused=True)
+    assert track(other) == config_log.PublishResult()
 
 
-def test_snapshot_comes_due_well_before_the_log_forgets_it():
-    def is_due(age: float, oldest: int, spread: float = 1.0) -> bool:
-        return config_log.is_snapshot_due(100, oldest, 50, age, 12.0, spread)
+def test_snapshot_is_due_well_before_the_log_drops_the_last_one():
+    def is_due(age: float, oldest: int, jitter: float = 1.0) -> bool:
+        return config_log.is_snapshot_due(100, oldest, 50, age, 12.0, jitter)
 
     assert not is_due(2.9, 1)
     assert is_due(3.1, 1)
-    assert is_due(2.1, 1, spread=0.0)
+    assert is_due(2.1, 1, jitter=0.0)
     assert not is_due(0.0, 1)
     assert is_due(0.0, 10)
--- a/tests/cover/test_membership.py
+++ b/tests/cover/test_membership.py
@@ -1,4 +1,4 @@
-"""Facts about entry VMs and endpoints merge alike in any order."""
+"""Tests of the gossip of member records and endpoint observations."""
 
 import attrs
 import hypothesis
@@ -16,12 +16,14 @@
     failure_domain=strategies.just("d"),
     address=strategies.just("10.0.0.1:1"),
 )
-SEEN = sightings.merge_listed(None, "e", "pool", "d", "10.0.0.9:1", False, 0.0)
+LISTED = sightings.merge_listed(
+    None, "e", "pool", "d", "10.0.0.9:1", False, 0.0
+)
 
 
 @hypothesis.settings(derandomize=True, max_examples=200)
 @hypothesis.given(strategies.lists(MEMBERS, max_size=8), strategies.randoms())
-def test_members_merge_alike_in_any_order(members, shuffler):
+def test_merge_of_member_records_is_independent_of_order(members, shuffler):
     shuffled = list(members)
     shuffler.shuffle(shuffled)
     one: dict[str, membership.KnownMember] = {}
@@ -36,7 +38,7 @@
 
 
 def make_known(count: int) -> dict[str, membership.KnownMember]:
-    """As many members, all heard of at 0."""
+    """Make ``count`` known members, all last updated at 0."""
     known: dict[str, membership.KnownMember] = {}
     for number in range(count):
         member = membership.Member(
@@ -51,10 +53,10 @@
     return known
 
 
-def test_a_round_sends_the_same_number_of_records_whatever_changes():
-    """A failure domain goes and half of all records change at once.
+def test_each_round_sends_the_same_number_of_records():
+    """A failure domain is lost, and half of all records change at once.
 
-    The rounds must not grow with it, and every record still gets its turn.
+    Rounds must not grow because of it, and every record must still be sent.
     """
     known = make_known(100)
     changed = {name: 2 for name in sorted(known)[:50]}
@@ -69,7 +71,7 @@
     assert not changed
 
 
-def test_silent_members_are_forgotten_and_not_passed_on_before():
+def test_silent_members_are_not_forwarded_and_then_dropped():
     known = make_known(3)
     records, _ = membership.choose_records(known, {}, 0, 8, 501.0, 1_000.0)
     assert records == []
@@ -86,13 +88,13 @@
         for name in chosen:
             probed[name].add(node[1])
     assert all(len(domains) == 1 for domains in probed.values())
-    few = membership.choose_probe_targets(
+    all_probed = membership.choose_probe_targets(
         endpoints[:40], nodes, nodes[0], 3, 40
     )
-    assert len(few) == 40
+    assert len(all_probed) == 40
 
 
-def test_records_survive_their_encoding_and_junk_does_not_pass():
+def test_records_are_unchanged_by_encoding_and_malformed_ones_refused():
     member = attrs.evolve(
         make_known(1)["n000"].member, heir_of=(("a", "1"), ("b", "2"))
     )
@@ -100,39 +102,41 @@
     assert membership.decode_member(row) == member
     assert membership.decode_member(row[:-1]) is None
     assert membership.decode_member([*row[:-1], [["a"]]]) is None
-    fact = sightings.make_observation(attrs.evolve(SEEN, answered_ms=1.0), 4.0)
-    assert fact is not None and fact.age_ms == 3.0
-    encoded = membership.encode_observation(fact)
-    assert membership.decode_observation(encoded) == fact
+    observation = sightings.make_observation(
+        attrs.evolve(LISTED, answered_ms=1.0), 4.0
+    )
+    assert observation is not None and observation.age_ms == 3.0
+    encoded = membership.encode_observation(observation)
+    assert membership.decode_observation(encoded) == observation
     assert membership.decode_observation([*encoded[:-1], -1.0]) is None
 
 
-def test_leaving_is_not_taken_back_by_whoever_has_not_heard_yet():
-    """The platform marks an endpoint as leaving; the endpoint does not know.
+def test_leaving_is_not_cleared_by_sources_that_do_not_know_of_it():
+    """The platform marks an endpoint as leaving before the endpoint knows.
 
-    Its own report, the next list from a lagging replica and a peer's older
-    fact all say that it stays. Work sent to it now would be cut off.
+    Its own report, the next list from a lagging replica and an observation
+    of a peer all lack the mark. Work sent to the endpoint would be cut off.
     """
     seen = sightings.merge_listed(
-        SEEN, "e", "pool", "d", SEEN.address, True, 5
+        LISTED, "e", "pool", "d", LISTED.address, True, 5
     )
     seen = sightings.merge_report(seen, frozenset(["v"]), 1.0, False, 6.0)
     seen = sightings.merge_listed(
-        seen, "e", "pool", "d", SEEN.address, False, 7
+        seen, "e", "pool", "d", LISTED.address, False, 7
     )
-    stays = sightings.make_observation(
-        attrs.evolve(SEEN, answered_ms=7.0), 8.0
+    not_leaving = sightings.make_observation(
+        attrs.evolve(LISTED, answered_ms=7.0), 8.0
     )
-    assert stays is not None
-    assert sightings.merge_observation(seen, stays, 8.0).leaving
+    assert not_leaving is not None
+    assert sightings.merge_observation(seen, not_leaving, 8.0).leaving
 
 
-def test_endpoint_that_was_gone_and_came_back_takes_work_again():
-    """An endpoint is restarted at its old address after it had left.
+def test_restarted_endpoint_gets_work_again():
+    """An endpoint leaves and is then restarted at its old address.
 
-    A peer that has not probed it since still passes on the old mark.
+    A peer that has not probed it since still sends the old leaving mark.
     """
-    seen = sightings.merge_report(SEEN, frozenset(), 0.0, True, 1.0)
+    seen = sightings.merge_report(LISTED, frozenset(), 0.0, True, 1.0)
     old = sightings.make_observation(seen, 1.0)
     assert old is not None
     for _ in range(sightings.MIN_FAILED_PROBES):
@@ -145,17 +149,19 @@
     assert sightings.merge_observation(seen, again, 60.0).leaving
 
 
-def test_unlisted_endpoint_is_kept_while_it_answers():
-    seen = sightings.mark_unlisted(SEEN)
+def test_unlisted_endpoint_is_retained_while_it_answers():
+    seen = sightings.mark_unlisted(LISTED)
     assert not sightings.is_retained(seen, 1.0)
     seen = sightings.merge_report(seen, frozenset(["v"]), 0.0, False, 1.0)
     assert sightings.is_retained(seen, sightings.UNLISTED_RETENTION_MS)
     assert not sightings.is_retained(seen, 2 + sightings.UNLISTED_RETENTION_MS)
 
 
-def test_endpoint_is_known_from_peers_alone():
-    fact = sightings.make_observation(attrs.evolve(SEEN, answered_ms=1.0), 2.0)
-    assert fact is not None
-    learned = sightings.merge_observation(None, fact, 100.0)
-    assert learned.address == SEEN.address
+def test_endpoint_is_learned_from_peers_alone():
+    observation = sightings.make_observation(
+        attrs.evolve(LISTED, answered_ms=1.0), 2.0
+    )
+    assert observation is not None
+    learned = sightings.merge_observation(None, observation, 100.0)
+    assert learned.address == LISTED.address
     assert sightings.is_retained(learned, 100.0)
--- a/tests/cover/test_peers_protocol.py
+++ b/tests/cover/test_peers_protocol.py
@@ -1,4 +1,4 @@
-"""Proofs of identity and the choice of links, without sockets."""
+"""Tests of the peer handshake and the choice of links, without sockets."""
 
 import collections
 
@@ -22,7 +22,7 @@
     role: bytes = handshake.DIALLER,
     challenge: bytes = CHALLENGE,
 ) -> bool:
-    """Whether a proof is taken."""
+    """Whether a proof is accepted."""
     try:
         handshake.verify_proof(keys, role, challenge, data)
     except errors.NotAuthenticated:
@@ -31,20 +31,20 @@
 
 
 def make_proof(keys: tuple[str, ...] = KEYS) -> bytes:
-    """A dialler's good answer to CHALLENGE."""
+    """Make a dialler's valid response to CHALLENGE."""
     return handshake.prove(keys, handshake.DIALLER, CHALLENGE, NONCE, ME)
 
 
-def test_proof_is_accepted_once_under_its_role_and_challenge_only():
-    """A recorded or reflected proof is worthless."""
+def test_proof_is_valid_only_for_its_role_and_challenge():
+    """Replayed and reflected proofs are refused."""
     proof = make_proof()
     assert is_accepted(proof)
     assert not is_accepted(proof, challenge=b"d" * 16)
     assert not is_accepted(proof, role=handshake.LISTENER)
 
 
-def test_keys_rotate_without_a_gap():
-    """Added as second, made first, then alone: each step links to the last."""
+def test_keys_rotate_without_an_interruption():
+    """Entry VMs at adjacent steps of a rotation accept each other."""
     new, old = KEYS
     steps = [(old,), (old, new), (new, old), (new,)]
     for one, other in zip(steps, steps[1:], strict=False):
@@ -54,7 +54,7 @@
 
 
 def test_proof_of_another_identity_is_refused():
-    """The name is signed, so it cannot be exchanged."""
+    """The signature covers the name, so it cannot be replaced."""
     parts = cbor2.loads(make_proof())
     parts[0] = "oduya-2"
     assert not is_accepted(cbor2.dumps(parts))
@@ -79,13 +79,13 @@
         ),
     )
 )
-def test_junk_is_refused_with_the_typed_error(data):
-    """Whatever comes instead of a proof, it is no crash."""
+def test_malformed_proof_raises_not_authenticated(data):
+    """Any other data raises NotAuthenticated and no other exception."""
     assert not is_accepted(data)
 
 
 def make_members(count: int, domains: int = 5) -> list[topology.Member]:
-    """Entry VMs spread over failure domains."""
+    """Make entry VMs, evenly spread over failure domains."""
     return [
         topology.Member(f"vm-{n}", f"domain-{n % domains}")
         for n in range(count)
@@ -93,7 +93,7 @@
 
 
 def make_graph(members: list[topology.Member]) -> dict[str, set[str]]:
-    """Who is linked to whom when everyone has chosen."""
+    """Build the graph of links after every member has chosen."""
     graph: dict[str, set[str]] = collections.defaultdict(set)
     for member in members:
         for peer in topology.choose_peers(member, members):
@@ -103,23 +103,23 @@
 
 
 def count_reached(graph: dict[str, set[str]], start: str) -> int:
-    """How many nodes a message from ``start`` reaches."""
-    reached, edge = {start}, [start]
-    while edge:
-        fresh = graph[edge.pop()] - reached
+    """Count the nodes that a message from ``start`` reaches."""
+    reached, frontier = {start}, [start]
+    while frontier:
+        fresh = graph[frontier.pop()] - reached
         reached |= fresh
-        edge += fresh
+        frontier += fresh
     return len(reached)
 
 
 def test_small_deployment_is_a_full_mesh():
-    """Today's nine entry VMs are one hop apart."""
+    """Nine entry VMs, as deployments have today, are one hop apart."""
     graph = make_graph(make_members(9, 3))
     assert {len(peers) for peers in graph.values()} == {8}
 
 
-def test_410_entry_vms_are_connected_over_few_links_each():
-    """The cost of a node does not depend on the size of the deployment."""
+def test_410_entry_vms_are_connected_by_few_links_each():
+    """The cost per node does not depend on the size of the deployment."""
     members = make_members(410)
     graph = make_graph(members)
     degrees = [len(peers) for peers in graph.values()]
@@ -128,17 +128,17 @@
     assert max(degrees) <= 30
 
 
-def test_links_stay_in_one_piece_when_a_tenth_vanishes():
-    """A rack goes; the rest still hear of configurations from each other."""
+def test_links_stay_connected_when_a_tenth_of_the_nodes_fails():
+    """A rack fails; the other nodes still exchange configurations."""
     members = [m for n, m in enumerate(make_members(410)) if n % 10]
     graph = make_graph(make_members(410))
     left = {m.name for m in members}
-    kept = {name: graph[name] & left for name in left}
-    assert count_reached(kept, members[0].name) >= 0.99 * len(left)
+    links = {name: graph[name] & left for name in left}
+    assert count_reached(links, members[0].name) >= 0.99 * len(left)
 
 
-def test_newcomer_changes_few_links_of_the_others():
-    """A VM that is replaced does not make hundreds dial anew."""
+def test_new_entry_vm_changes_few_links_of_the_others():
+    """Replacing a VM does not make hundreds of others reconnect."""
     before = make_members(410)
     after = [*before, topology.Member("vm-new", "domain-0")]
     changed = sum(
