--- a/tests/model/__init__.py
+++ b/tests/model/__init__.py
@@ -1,1 +1,1 @@
-"""Model checks of the core protocols."""
+"""Model checks of the distributed protocols."""
--- a/tests/model/claims.py
+++ b/tests/model/claims.py
@@ -1,11 +1,11 @@
-"""A caller's own key: claims on the log, and what the winner does.
-
-One key, which its caller sends to either node at any time, as often as it
-likes. Claims may arrive at any later time or never; nodes read the log as
-late as they like, and restart once each. Nothing bounds how long a node's
-next step takes, so each is frozen anywhere and woken. The log may forget its
-oldest record at any time, as one that keeps a number of records would; nodes
-may forget the winner once the key is past its window. The second node's
+"""Specification of claims: a caller's own key, the log and the winner.
+
+The caller sends one key to either node at any time and any number of times.
+Claims may reach the log at any later time or never; nodes may read the log
+arbitrarily late, and restart once each. The time until a node's next step is
+unbounded, so each may be paused at any point and resume. The log may drop
+its oldest record at any time, as one that retains a number of records would;
+nodes may drop the winner once the key is past its window. The second node's
 clock is SKEW ahead. Bounds: one key, two nodes, one restart each, each claim
 once in the log.
 """
@@ -19,9 +19,10 @@
 from tests.model import kripke
 
 SKEW = 1
-YOUNG, OLD = 1, 9
+# Times within and past the window of a key made at 0.
+IN_WINDOW, PAST_WINDOW = 1, 9
 RULES = claims.Rules(window_ms=4, skew_ms=SKEW)
-BOOK_RULES = tickets.Rules(skew_ms=SKEW)
+TICKET_RULES = tickets.Rules(skew_ms=SKEW)
 KEY = ("alpha", "k")
 RIGHT = "key alpha k"
 NEVER = float("-inf")
@@ -29,7 +30,12 @@
 
 @attrs.frozen
 class Node:
-    """One node: its table, its book's mark, and what it is about to do."""
+    """State of a node: its claim table, its mark and its next steps.
+
+    ``winner`` is the offset of the winning claim, or 0; ``waits`` means that
+    a call waits for the claim, ``sends`` that a run was marked and is still
+    to be sent.
+    """
 
     incarnation: int = 1
     covered_from: float = NEVER
@@ -42,19 +48,19 @@
 
 
 @attrs.frozen
-class World:
-    """Everything; ``log`` and ``on_the_way`` hold (node, incarnation)."""
+class System:
+    """State of the system; a claim is written as (node, incarnation)."""
 
-    now: int = YOUNG
+    now: int = IN_WINDOW
     log: tuple[tuple[int, int], ...] = ()
     oldest: int = 1
-    on_the_way: frozenset[tuple[int, int]] = frozenset()
+    in_transit: frozenset[tuple[int, int]] = frozenset()
     nodes: tuple[Node, Node] = (Node(), Node())
     runs: int = 0
 
 
 def make_claim(node: int, incarnation: int) -> claims.Claim:
-    """The claim of one incarnation."""
+    """Make the claim of one incarnation."""
     return claims.Claim(
         claim_id=f"{node}-{incarnation}",
         customer=KEY[0],
@@ -65,19 +71,19 @@
     )
 
 
-def make_group(world: World, offset: int) -> claims.ClaimGroup:
-    """A record of the log."""
-    claim = make_claim(*world.log[offset - 1])
-    return claims.ClaimGroup(offset=offset, at_ms=YOUNG, claims=(claim,))
+def make_group(system: System, offset: int) -> claims.ClaimGroup:
+    """Make the record at an offset of the log."""
+    claim = make_claim(*system.log[offset - 1])
+    return claims.ClaimGroup(offset=offset, at_ms=IN_WINDOW, claims=(claim,))
 
 
-def restore(world: World, node: Node) -> claims.ClaimTable:
-    """A node's table."""
+def restore(system: System, node: Node) -> claims.ClaimTable:
+    """Restore a node's claim table."""
     table = claims.ClaimTable(
         covered_from_ms=node.covered_from, read_to=node.read_to
     )
     if node.winner:
-        group = make_group(world, node.winner)
+        group = make_group(system, node.winner)
         table.winners[KEY] = claims.Winner(
             claim=group.claims[0],
             offset=group.offset,
@@ -88,7 +94,7 @@
 
 
 def write(node: Node, table: claims.ClaimTable) -> Node:
-    """A node with another table."""
+    """Return the node with the state of ``table``."""
     winner = table.winners.get(KEY)
     return attrs.evolve(
         node,
@@ -100,126 +106,133 @@
 
 
 def list_steps(
-    world: World, restarting: int, ages: bool
+    system: System, restarting: int, ages: bool
 ) -> typing.Iterator[kripke.Step]:
-    """Everything that may happen next."""
-    if world.now == YOUNG and ages:
-        yield "the key grows old", attrs.evolve(world, now=OLD)
-    if world.oldest <= len(world.log):
-        forgetful = attrs.evolve(world, oldest=world.oldest + 1)
-        yield "the log forgets a record", forgetful
-    for claim in sorted(world.on_the_way):
-        arrived = attrs.evolve(
-            world,
-            log=(*world.log, claim),
-            on_the_way=world.on_the_way - {claim},
+    """List all steps that may happen next."""
+    if system.now == IN_WINDOW and ages:
+        yield (
+            "the key leaves its window",
+            attrs.evolve(system, now=PAST_WINDOW),
         )
-        yield f"the claim of {claim} arrives", arrived
-    for index, node in enumerate(world.nodes):
-        yield f"{index} is called", take_call(world, index)
-        if node.read_to < len(world.log):
-            yield f"{index} reads a record", read_record(world, index)
-        if node.winner and world.now == OLD:
-            table = restore(world, node)
-            claims.drop_expired(table, world.now + index * SKEW, RULES)
-            lighter = replace(world, index, write(node, table))
-            yield f"{index} forgets", lighter
+    if system.oldest <= len(system.log):
+        truncated = attrs.evolve(system, oldest=system.oldest + 1)
+        yield "the log drops a record", truncated
+    for claim in sorted(system.in_transit):
+        appended = attrs.evolve(
+            system,
+            log=(*system.log, claim),
+            in_transit=system.in_transit - {claim},
+        )
+        yield f"the claim of {claim} is appended", appended
+    for index, node in enumerate(system.nodes):
+        yield f"{index} is called", receive_call(system, index)
+        if node.read_to < len(system.log):
+            yield f"{index} reads a record", read_record(system, index)
+        if node.winner and system.now == PAST_WINDOW:
+            table = restore(system, node)
+            claims.drop_expired(table, system.now + index * SKEW, RULES)
+            trimmed = replace(system, index, write(node, table))
+            yield f"{index} drops expired winners", trimmed
         if node.sends:
-            rested = replace(world, index, attrs.evolve(node, sends=False))
-            sent = attrs.evolve(rested, runs=world.runs + 1)
-            yield f"{index} wakes and sends", sent
+            idle = replace(system, index, attrs.evolve(node, sends=False))
+            sent = attrs.evolve(idle, runs=system.runs + 1)
+            yield f"{index} resumes and sends", sent
         if node.incarnation == 1 and index < restarting:
-            fresh = begin(world, Node(incarnation=2), index)
-            yield f"{index} restarts", replace(world, index, fresh)
+            fresh = start_reading(system, Node(incarnation=2), index)
+            yield f"{index} restarts", replace(system, index, fresh)
 
 
-def replace(world: World, index: int, node: Node) -> World:
-    """The world with another node in a place."""
-    one, other = world.nodes
+def replace(system: System, index: int, node: Node) -> System:
+    """Return the system with a node replaced."""
+    one, other = system.nodes
     nodes = (one, node) if index else (node, other)
-    return attrs.evolve(world, nodes=nodes)
+    return attrs.evolve(system, nodes=nodes)
 
 
-def begin(world: World, node: Node, index: int) -> Node:
-    """Start to read at the oldest record."""
-    covered_from = float(world.now + index * SKEW + SKEW)
-    if world.oldest <= len(world.log):
-        covered_from = float(YOUNG)
-    table = restore(world, node)
-    claims.start_reading(table, world.oldest, covered_from)
+def start_reading(system: System, node: Node, index: int) -> Node:
+    """Start to read at the oldest record of the log."""
+    covered_from = float(system.now + index * SKEW + SKEW)
+    if system.oldest <= len(system.log):
+        covered_from = float(IN_WINDOW)
+    table = restore(system, node)
+    claims.start_reading(table, system.oldest, covered_from)
     return write(node, table)
 
 
-def decide(world: World, index: int) -> claims.Verdict:
-    """The shipped decision about the key."""
-    node = world.nodes[index]
+def decide(system: System, index: int) -> claims.Verdict:
+    """Decide on the key with the shipped function."""
+    node = system.nodes[index]
     return claims.decide(
-        restore(world, node),
+        restore(system, node),
         KEY,
         0,
-        world.now + index * SKEW,
+        system.now + index * SKEW,
         (str(index), str(node.incarnation)),
         RULES,
     )
 
 
-def take_call(world: World, index: int) -> World:
-    """The caller sends its key to a node."""
-    node = world.nodes[index]
-    verdict = decide(world, index)
+def receive_call(system: System, index: int) -> System:
+    """A node receives a call with the key."""
+    node = system.nodes[index]
+    verdict = decide(system, index)
     if verdict is claims.Verdict.RUN_HERE:
-        return present(world, index)
+        return decide_right(system, index)
     if verdict is not claims.Verdict.CLAIM:
-        return world
+        return system
     claim = (index, node.incarnation)
-    world = replace(world, index, attrs.evolve(node, waits=True))
-    if claim in world.log:
-        return world
-    return attrs.evolve(world, on_the_way=world.on_the_way | {claim})
-
-
-def read_record(world: World, index: int) -> World:
-    """A node folds the next record; a call that waits goes on."""
-    node = world.nodes[index]
-    if node.read_to + 1 < world.oldest:
-        return replace(world, index, begin(world, node, index))
-    table = restore(world, node)
-    claims.fold_claims(table, [make_group(world, node.read_to + 1)])
+    system = replace(system, index, attrs.evolve(node, waits=True))
+    if claim in system.log:
+        return system
+    return attrs.evolve(system, in_transit=system.in_transit | {claim})
+
+
+def read_record(system: System, index: int) -> System:
+    """A node folds the next record; a waiting call continues."""
+    node = system.nodes[index]
+    if node.read_to + 1 < system.oldest:
+        return replace(system, index, start_reading(system, node, index))
+    table = restore(system, node)
+    claims.fold_claims(table, [make_group(system, node.read_to + 1)])
     waits = node.waits
     node = attrs.evolve(write(node, table), waits=False)
-    world = replace(world, index, node)
-    if waits and decide(world, index) is claims.Verdict.RUN_HERE:
-        return present(world, index)
-    return world
+    system = replace(system, index, node)
+    if waits and decide(system, index) is claims.Verdict.RUN_HERE:
+        return decide_right(system, index)
+    return system
 
 
-def present(world: World, index: int) -> World:
-    """The book decides; the mark is set before anything is sent."""
-    node = world.nodes[index]
-    book = tickets.RightsTable()
+def decide_right(system: System, index: int) -> System:
+    """Decide on the right, and mark it used before anything is sent."""
+    node = system.nodes[index]
+    rights = tickets.RightsTable()
     if node.used:
-        tickets.mark_used(book, RIGHT, RULES.window_ms)
-    wall = world.now + index * SKEW
-    found = tickets.decide(book, RIGHT, RULES.window_ms, wall, BOOK_RULES)
-    if not isinstance(found, tickets.Run):
-        return world
-    tickets.mark_used(book, RIGHT, RULES.window_ms)
-    marked = attrs.evolve(node, used=RIGHT in book.uses, sends=True)
-    return replace(world, index, marked)
+        tickets.mark_used(rights, RIGHT, RULES.window_ms)
+    wall_ms = system.now + index * SKEW
+    decision = tickets.decide(
+        rights, RIGHT, RULES.window_ms, wall_ms, TICKET_RULES
+    )
+    if not isinstance(decision, tickets.Run):
+        return system
+    tickets.mark_used(rights, RIGHT, RULES.window_ms)
+    marked = attrs.evolve(node, used=RIGHT in rights.uses, sends=True)
+    return replace(system, index, marked)
 
 
-def is_bad(world: World) -> bool:
-    """It ran twice."""
-    return world.runs > 1
+def is_bad(system: System) -> bool:
+    """Whether the request ran twice."""
+    return system.runs > 1
 
 
 def make_spec(restarting: int, ages: bool) -> kripke.Spec:
-    """The specification, with the first nodes restarting, and the key aging.
+    """Make the specification.
 
-    With ``restarting`` 2 it has 242,600 states: too many for the engine.
+    The first ``restarting`` nodes may restart; with ``ages``, the key may
+    leave its window. With ``restarting`` 2, there are 242,600 states, which
+    are too many for the engine.
     """
 
-    def list_bound_steps(world: World) -> typing.Iterator[kripke.Step]:
-        return list_steps(world, restarting, ages)
+    def list_spec_steps(system: System) -> typing.Iterator[kripke.Step]:
+        return list_steps(system, restarting, ages)
 
-    return kripke.Spec(World(), list_bound_steps, is_bad)
+    return kripke.Spec(System(), list_spec_steps, is_bad)
--- a/tests/model/configuration.py
+++ b/tests/model/configuration.py
@@ -1,16 +1,16 @@
-"""The configuration log, with everything that may go wrong with it.
+"""Specification of the configuration log and its faults.
 
-The log grows by what may arrive at any time from senders that are as slow as
-they like, so nothing on the way need be kept in the state:
+Records may reach the log at any time, from senders that are arbitrarily
+slow, so the state need not hold records in transit:
 
-- two operators publish a document each, drawn from any revision that was in
-  force before; a lost answer makes them send it again, up to SENDS times in
-  all, and each copy may arrive at any time;
-- any node appends a snapshot of any place that it may have read to.
+- two operators publish one document each, based on any revision that has
+  been in force; after a lost response they send it again, up to MAX_SENDS
+  times in all, and each copy may arrive at any time;
+- any node appends a snapshot as of any offset that it may have read to.
 
-A reader starts anew at any time, any number of times, reads record by
-record, and may take the copy of a peer that has read to any place. The log
-may forget its oldest record at any time. Bounds: LOG_MOST records, SENDS.
+A reader may restart at any time and any number of times. It reads record by
+record, and may use the copy of a peer that has read to any offset. The log
+may drop its oldest record at any time. Bounds: MAX_RECORDS, MAX_SENDS.
 """
 
 import functools
@@ -22,8 +22,8 @@
 from tests.cover import test_config_log
 from tests.model import kripke
 
-LOG_MOST = 4
-SENDS = 2
+MAX_RECORDS = 4
+MAX_SENDS = 2
 OPERATORS = ("first", "one", "two")
 
 # A publish is (operator, base); a snapshot is (revision, as_of).
@@ -33,18 +33,18 @@
 
 @attrs.frozen
 class Reader:
-    """A reader's state; the log gives its documents back."""
+    """State of a reader; its documents are restored from the log."""
 
     known: bool
     revision: int
     read_to: int
-    began: int
+    first_offset: int
     pending: tuple[int, ...] = ()
 
 
 @attrs.frozen
-class World:
-    """The log, the oldest record kept, and a reader."""
+class System:
+    """State of the log, its oldest record, and a reader."""
 
     log: Log = (("first", 0),)
     oldest: int = 1
@@ -53,14 +53,14 @@
 
 @functools.cache
 def make_publish(entry: Entry) -> config_log.Publish:
-    """A publish with a document of its own."""
+    """Make a publish with a unique document."""
     operator, base = entry
     cost = float(base + 10 * OPERATORS.index(operator))
     return test_config_log.make_publish(base, cost)
 
 
 def make_snapshot(log: Log, entry: Entry) -> config_log.Snapshot:
-    """A snapshot by a node that had read to ``as_of``."""
+    """Make a snapshot by a node that had read to ``as_of``."""
     source = make_publish(log[entry[0] - 1])
     return config_log.Snapshot(
         revision=entry[0],
@@ -71,7 +71,7 @@
 
 
 def write(state: config_log.ConfigState) -> Reader:
-    """A state without its documents."""
+    """Convert a reader's state, without its documents."""
     offsets = tuple(offset for offset, _ in state.pending)
     return Reader(
         state.known, state.revision, state.read_to, state.first_offset, offsets
@@ -79,7 +79,7 @@
 
 
 def restore(log: Log, reader: Reader) -> config_log.ConfigState:
-    """A state with its documents."""
+    """Restore a reader's state with its documents."""
     document = None
     if reader.revision:
         document = make_publish(log[reader.revision - 1]).document
@@ -88,7 +88,7 @@
         revision=reader.revision,
         document=document,
         read_to=reader.read_to,
-        first_offset=reader.began,
+        first_offset=reader.first_offset,
         pending=tuple(
             (offset, make_publish(log[offset - 1]))
             for offset in reader.pending
@@ -97,7 +97,7 @@
 
 
 @functools.cache
-def read_one(log: Log, reader: Reader) -> Reader:
+def read_next(log: Log, reader: Reader) -> Reader:
     """Fold the next record with the shipped function."""
     offset = reader.read_to + 1
     entry = log[offset - 1]
@@ -109,81 +109,84 @@
 
 @functools.cache
 def list_revisions(log: Log) -> tuple[int, ...]:
-    """The revision in force at each place, for a reader of everything."""
+    """List the revision after each record, as a reader of the whole log."""
     reader = write(config_log.start_reading(1))
     revisions = [0]
     for length in range(1, len(log) + 1):
-        reader = read_one(log[:length], reader)
+        reader = read_next(log[:length], reader)
         revisions.append(reader.revision)
     return tuple(revisions)
 
 
-def list_steps(world: World) -> typing.Iterator[kripke.Step]:
-    """Everything that may happen next."""
-    if world.oldest <= len(world.log):
-        forgetful = attrs.evolve(world, oldest=world.oldest + 1)
-        yield f"the log forgets {world.oldest}", forgetful
-    if len(world.log) < LOG_MOST:
-        for entry in list_arrivals(world.log):
-            longer = attrs.evolve(world, log=(*world.log, entry))
+def list_steps(system: System) -> typing.Iterator[kripke.Step]:
+    """List all steps that may happen next."""
+    if system.oldest <= len(system.log):
+        truncated = attrs.evolve(system, oldest=system.oldest + 1)
+        yield f"the log drops {system.oldest}", truncated
+    if len(system.log) < MAX_RECORDS:
+        for entry in list_appends(system.log):
+            longer = attrs.evolve(system, log=(*system.log, entry))
             yield f"{entry} is record {len(longer.log)}", longer
-    for label, reader in list_readers(world):
-        yield label, attrs.evolve(world, reader=reader)
+    for label, reader in list_readers(system):
+        yield label, attrs.evolve(system, reader=reader)
 
 
-def list_arrivals(log: Log) -> typing.Iterator[Entry]:
-    """Records that may come next."""
+def list_appends(log: Log) -> typing.Iterator[Entry]:
+    """List the records that may be appended next."""
     revisions = list_revisions(log)
     for operator in OPERATORS[1:]:
         sent = [entry for entry in log if entry[0] == operator]
         if not sent:
             yield from ((operator, base) for base in set(revisions) - {0})
-        elif len(sent) < SENDS:
+        elif len(sent) < MAX_SENDS:
             yield sent[0]
     for as_of in range(1, len(log) + 1):
         yield revisions[as_of], as_of
 
 
-def list_readers(world: World) -> typing.Iterator[tuple[str, Reader]]:
-    """What may become of the reader."""
-    begun = write(config_log.start_reading(world.oldest))
-    yield f"a reader starts at {world.oldest}", begun
-    reader = world.reader
+def list_readers(system: System) -> typing.Iterator[tuple[str, Reader]]:
+    """List the steps of the reader."""
+    restarted = write(config_log.start_reading(system.oldest))
+    yield f"a reader starts at {system.oldest}", restarted
+    reader = system.reader
     if reader is None:
         return
-    if reader.read_to + 1 < world.oldest:
-        yield "the reader fell behind and starts anew", begun
-    elif reader.read_to < len(world.log):
-        yield "it reads a record", read_one(world.log, reader)
-    revisions = list_revisions(world.log)
-    for as_of in range(1, len(world.log) + 1):
-        copy = make_snapshot(world.log, (revisions[as_of], as_of))
-        state = restore(world.log, reader)
-        taken = write(config_log.apply_peer_copy(state, copy))
-        yield f"it takes a peer's copy of {as_of}", taken
-
-
-def is_bad(world: World) -> bool:
-    """A reader is wrong about its place, or a base has two winners."""
-    revisions = list_revisions(world.log)
-    reader = world.reader
-    # A copy may be ahead of what the reader has read itself.
+    if reader.read_to + 1 < system.oldest:
+        yield "the reader fell behind and restarts", restarted
+    elif reader.read_to < len(system.log):
+        yield "it reads a record", read_next(system.log, reader)
+    revisions = list_revisions(system.log)
+    for as_of in range(1, len(system.log) + 1):
+        copy = make_snapshot(system.log, (revisions[as_of], as_of))
+        state = restore(system.log, reader)
+        updated = write(config_log.apply_peer_copy(state, copy))
+        yield f"it uses a peer's copy of {as_of}", updated
+
+
+def is_bad(system: System) -> bool:
+    """Whether a reader is wrong, or a base was replaced twice."""
+    revisions = list_revisions(system.log)
+    reader = system.reader
+    # A peer's copy may be ahead of what the reader has read.
     if reader is not None and reader.known:
         ahead = revisions[reader.read_to :]
         if reader.revision not in ahead:
             return True
-    winners = [world.log[revision - 1] for revision in set(revisions) - {0}]
+    winners = [system.log[revision - 1] for revision in set(revisions) - {0}]
     bases = {base for _, base in winners}
     return len(bases) < len(winners)
 
 
-def knows(world: World) -> bool:
-    """Nobody reads, or the reader knows the configuration."""
-    return world.reader is None or world.reader.known
+def has_configuration(system: System) -> bool:
+    """Whether there is no reader, or it has a configuration."""
+    return system.reader is None or system.reader.known
 
 
 def make_spec() -> kripke.Spec:
-    """The specification, with nothing remembered of another one's rules."""
-    read_one.cache_clear()
+    """Make the specification, without results cached by another one.
+
+    The caches hold results of the shipped functions, which tests replace.
+    """
+    read_next.cache_clear()
     list_revisions.cache_clear()
-    return kripke.Spec(World(), list_steps, is_bad, knows)
+    return kripke.Spec(System(), list_steps, is_bad, has_configuration)
--- a/tests/model/kripke.py
+++ b/tests/model/kripke.py
@@ -1,12 +1,13 @@
-"""Enumerates a specification's states and checks them with z3.
+"""Explicit-state model checker on Kripke structures, with z3.
 
-A specification gives its successors by calling the shipped transition
-functions; all interleavings within its bounds are enumerated breadth first.
-Whether a bad state is reachable, and whether a goal can always still be
-reached, is decided by z3's fixed point engine over that graph.
+A specification computes the successors of a state by calling the shipped
+transition functions; all interleavings within its bounds are enumerated
+breadth-first. z3's fixed-point engine then decides on that graph whether a
+violation is reachable (safety), and whether a goal state can still be
+reached from every state (AG EF goal).
 
-z3 and not pyModelChecking: its engine answers both questions, it is kept up,
-and it is in the environment already.
+z3 is used instead of pyModelChecking: its engine answers both questions, it
+is maintained, and it is already in the environment.
 """
 
 import re
@@ -22,7 +23,7 @@
 
 @attrs.frozen
 class Spec:
-    """A transition system; ``is_bad`` names what must never be."""
+    """A transition system; no state with ``is_bad`` may be reachable."""
 
     initial: State
     list_steps: typing.Callable[[typing.Any], typing.Iterable[Step]]
@@ -32,14 +33,17 @@
 
 @attrs.define
 class Graph:
-    """All reachable states, numbered, and how each was first reached."""
+    """All reachable states, numbered, and how each was first reached.
+
+    ``parents`` holds the predecessor of each state and the step from there.
+    """
 
     states: list[State] = attrs.field(factory=list)
     edges: list[tuple[int, int]] = attrs.field(factory=list)
     parents: list[tuple[int, str]] = attrs.field(factory=list)
 
     def trace(self, number: int) -> list[str]:
-        """Steps from the initial state to a state."""
+        """Return the steps from the initial state to a state."""
         steps: list[str] = []
         while number:
             number, label = self.parents[number]
@@ -48,39 +52,41 @@
 
 
 def explore(spec: Spec) -> Graph:
-    """Enumerate every reachable state; a bad one is not gone on from."""
+    """Enumerate the reachable states; bad states are not expanded."""
     graph = Graph([spec.initial], [], [(0, "")])
     numbers = {spec.initial: 0}
     for number, state in enumerate(graph.states):
         if spec.is_bad(state):
             continue
-        for label, following in spec.list_steps(state):
-            if following not in numbers:
-                numbers[following] = len(graph.states)
-                graph.states.append(following)
+        for label, successor in spec.list_steps(state):
+            if successor not in numbers:
+                numbers[successor] = len(graph.states)
+                graph.states.append(successor)
                 graph.parents.append((number, label))
-            if following != state:
-                graph.edges.append((number, numbers[following]))
-    assert len(graph.states) < 2**WIDTH, "widen the states' sort"
+            if successor != state:
+                graph.edges.append((number, numbers[successor]))
+    assert len(graph.states) < 2**WIDTH, "too many states for WIDTH bits"
     return graph
 
 
 def find_counterexample(spec: Spec) -> tuple[list[str], int]:
-    """Steps to a bad state, or to one that the goal is lost in; and states.
+    """Return the steps to a counterexample, and the number of states.
 
-    No steps means that neither exists within the specification's bounds.
+    A counterexample is a bad state, or one from which no goal state can be
+    reached. No steps mean that there is none within the specification's
+    bounds.
     """
     graph = explore(spec)
     bad = [n for n, s in enumerate(graph.states) if spec.is_bad(s)]
     goals = [n for n, s in enumerate(graph.states) if spec.is_goal(s)]
-    found = _query(graph.edges, bad, goals)
+    found = _find_faulty_state(graph.edges, bad, goals)
     return graph.trace(found) if found else [], len(graph.states)
 
 
-def _query(
+def _find_faulty_state(
     edges: list[tuple[int, int]], bad: list[int], goals: list[int]
 ) -> int:
-    """Number of a reachable state that is wrong, or 0."""
+    """Return the number of a counterexample's state, or 0."""
     sort = z3.BitVecSort(WIDTH)
     engine = z3.Fixedpoint()
     engine.set(engine="datalog")
@@ -91,18 +97,20 @@
         return relation
 
     edge = declare("edge", sort, sort)
-    reached, wrong, hopeful, faulty = (
+    reached, is_bad, reaches_goal, faulty = (
         declare(name, sort)
-        for name in ("reached", "wrong", "hopeful", "faulty")
+        for name in ("reached", "is_bad", "reaches_goal", "faulty")
     )
     one, other = z3.BitVecs("one other", WIDTH)
     engine.declare_var(one, other)
     engine.rule(reached(other), [reached(one), edge(one, other)])
-    engine.rule(hopeful(one), [edge(one, other), hopeful(other)])
-    engine.rule(faulty(one), [reached(one), wrong(one)])
-    engine.rule(faulty(one), [reached(one), z3.Not(hopeful(one))])
+    engine.rule(reaches_goal(one), [edge(one, other), reaches_goal(other)])
+    engine.rule(faulty(one), [reached(one), is_bad(one)])
+    engine.rule(faulty(one), [reached(one), z3.Not(reaches_goal(one))])
     facts = [(reached, [0]), *((edge, pair) for pair in edges)]
-    facts += [(wrong, [n]) for n in bad] + [(hopeful, [n]) for n in goals]
+    facts += [(is_bad, [n]) for n in bad] + [
+        (reaches_goal, [n]) for n in goals
+    ]
     for relation, numbers in facts:
         values = [z3.BitVecVal(n, WIDTH) for n in numbers]
         engine.fact(relation(*values))
--- a/tests/model/test_configuration.py
+++ b/tests/model/test_configuration.py
@@ -1,4 +1,8 @@
-"""The configuration log is safe in its bounds, and only with its guards."""
+"""Model checks of the configuration log, with and without its guards.
+
+Each test without a guard must find a counterexample, which shows that the
+specification would detect the fault.
+"""
 
 from unittest import mock
 
@@ -10,31 +14,31 @@
 
 
 def find_with(name: str, substitute: object) -> list[str]:
-    """A counterexample with one shipped function replaced."""
+    """Find a counterexample with one shipped function replaced."""
     with mock.patch.object(config_log, name, substitute):
         trace, _ = kripke.find_counterexample(configuration.make_spec())
     return trace
 
 
-def test_no_reader_is_ever_wrong_and_none_is_lost():
-    """All interleavings in the bounds that the specification states.
+def test_readers_are_never_wrong_and_can_always_recover():
+    """Checks all interleavings within the specification's bounds.
 
     No reader differs from a reader of the whole log, no base has two
-    winners, and a reader can always still come to know.
+    winners, and every reader can still reach a configuration.
     """
     trace, states = kripke.find_counterexample(configuration.make_spec())
     assert trace == []
     assert states > 7_000
 
 
-def test_without_replay_past_as_of_a_newcomer_reverts():
-    """A newcomer serves a configuration that was replaced.
+def test_without_replay_past_as_of_a_new_reader_reverts():
+    """A new reader serves a configuration that was replaced.
 
     A slow node appends a snapshot after a publish that it had not read. The
-    newcomer read the publish first and could not judge it.
+    reader read the publish before it and could not validate it.
     """
 
-    def adopt_as_it_stands(state, record):
+    def adopt_without_replay(state, record):
         if state.known or not config_log.is_usable(state, record):
             return state
         return attrs.evolve(
@@ -45,18 +49,18 @@
             pending=(),
         )
 
-    assert find_with("_apply_snapshot", adopt_as_it_stands)
+    assert find_with("_apply_snapshot", adopt_without_replay)
 
 
-def test_without_the_age_check_a_newcomer_skips_forgotten_publishes():
-    """A newcomer serves a configuration that was replaced.
+def test_without_the_age_check_a_new_reader_skips_dropped_publishes():
+    """A new reader serves a configuration that was replaced.
 
-    The snapshot is older than the oldest record kept, and a publish between
-    the two has left the log.
+    The snapshot is older than the oldest record of the log, and a publish
+    between the two has been dropped.
     """
     assert find_with("is_usable", lambda state, snapshot: True)
 
 
-def test_without_compare_and_swap_two_racing_operators_both_win():
-    """Two operators drew from the same revision and both are accepted."""
+def test_without_compare_and_swap_both_concurrent_publishes_win():
+    """Two documents based on the same revision both take effect."""
     assert find_with("is_valid", lambda revision, record: True)
--- a/tests/model/test_once.py
+++ b/tests/model/test_once.py
@@ -1,7 +1,7 @@
-"""Claims and tickets run a request at most once, and only with their guards.
+"""Model checks of at-most-once execution, with and without its guards.
 
-Each test without a guard must find a counterexample: it shows that the
-specification would notice the fault.
+Each test without a guard must find a counterexample, which shows that the
+specification would detect the fault.
 """
 
 from unittest import mock
@@ -16,29 +16,29 @@
 def find_with(
     module: object, name: str, substitute: object, spec: kripke.Spec
 ) -> list[str]:
-    """A counterexample with one shipped function replaced."""
+    """Find a counterexample with one shipped function replaced."""
     with mock.patch.object(module, name, substitute):
         return kripke.find_counterexample(spec)[0]
 
 
 def test_key_runs_at_most_once_while_a_node_restarts():
-    """All interleavings of the specification with a young key."""
+    """Checks all interleavings with a key within its window."""
     spec = claims.make_spec(restarting=1, ages=False)
     trace, states = kripke.find_counterexample(spec)
     assert trace == []
     assert states > 11_000
 
 
-def test_key_runs_at_most_once_while_it_grows_old():
-    """All interleavings with a key that leaves log and tables."""
+def test_key_runs_at_most_once_while_it_leaves_its_window():
+    """Checks all interleavings with a key that log and tables drop."""
     spec = claims.make_spec(restarting=0, ages=True)
     trace, states = kripke.find_counterexample(spec)
     assert trace == []
     assert states > 2_800
 
 
-def test_old_key_runs_at_most_once_while_a_node_restarts():
-    """The same with a restart; enumerated, too large for the engine."""
+def test_expiring_key_runs_at_most_once_while_a_node_restarts():
+    """Also with a restart; enumerated only, as it is too large for z3."""
     spec = claims.make_spec(restarting=1, ages=True)
     graph = kripke.explore(spec)
     assert not any(map(spec.is_bad, graph.states))
@@ -46,20 +46,20 @@
 
 
 def test_ticket_runs_at_most_once_and_not_after_its_caller_gave_up():
-    """All interleavings of the tickets' specification."""
+    """Checks all interleavings of the specification of tickets."""
     trace, states = kripke.find_counterexample(tickets.SPEC)
     assert trace == []
     assert states > 1_000
 
 
-def test_without_the_claims_order_both_nodes_run():
-    """A parcel is logged twice.
+def test_without_the_order_of_claims_both_nodes_run():
+    """A request runs twice.
 
-    Both nodes claimed the key. Each takes the newest claim that it has read
-    as the winner, so both find their own at some time.
+    Both nodes claimed the key. Each treats the last claim that it has read
+    as the winner, so each finds its own claim to win at some time.
     """
 
-    def take_last(table, groups):
+    def fold_last(table, groups):
         for group in groups:
             table.winners.clear()
             table.read_to = group.offset - 1
@@ -67,14 +67,15 @@
 
     fold = claims_rules.fold_claims
     spec = claims.make_spec(restarting=0, ages=False)
-    assert find_with(claims_rules, "fold_claims", take_last, spec)
+    assert find_with(claims_rules, "fold_claims", fold_last, spec)
 
 
-def test_without_both_age_limits_a_forgotten_key_runs_again():
-    """A parcel is logged twice, days apart.
+def test_without_both_age_limits_a_dropped_key_runs_again():
+    """A request runs twice, days apart.
 
-    Its first claim has left the tables; the caller sends the key once more.
-    Either limit alone holds: the claim's, and the one of the winner's book.
+    Its first claim has been dropped from the tables; the caller sends the
+    key again. Either limit alone is sufficient: that of the claim, and that
+    of the right in the winner's rights table.
     """
     never = mock.Mock(return_value=False)
     run = mock.Mock(return_value=tickets_rules.Run())
@@ -85,10 +86,10 @@
 
 
 def test_without_the_coverage_check_a_restarted_node_runs_a_key_again():
-    """A parcel is logged twice.
+    """A request runs twice.
 
-    A restarted node began to read after the key's claim had left the log,
-    and takes "no claim read" for "no claim made".
+    A restarted node started to read after the key's claim had been dropped
+    from the log, and takes "no claim read" for "no claim made".
     """
     always = mock.Mock(return_value=True)
     spec = claims.make_spec(restarting=1, ages=False)
@@ -96,42 +97,42 @@
 
 
 def test_without_the_mark_a_ticket_runs_twice():
-    """A stamp is credited twice: the caller resent while the first ran."""
-    without = mock.Mock()
+    """A request runs twice: it is resent while its first run is going on."""
+    no_effect = mock.Mock()
     spec = tickets.SPEC
-    assert find_with(tickets_rules, "mark_used", without, spec)
+    assert find_with(tickets_rules, "mark_used", no_effect, spec)
 
 
-def test_woken_holder_that_may_run_doubles_the_record():
-    """A stamp is credited twice.
+def test_without_the_dispatch_limit_a_resumed_holder_runs_again():
+    """A request is applied twice.
 
-    The ticket's holder was paused between its mark and its send. The caller
-    was told "unknown", found no stamp, and took a new ticket; then the
-    holder woke, believing that it is in charge.
+    The ticket's holder was paused between marking the ticket and sending the
+    request. The caller was told "unknown", found that the request had had no
+    effect, and took a new ticket; then the holder resumed and sent it.
     """
     always = mock.Mock(return_value=True)
     spec = tickets.SPEC
     assert find_with(claims_rules, "may_dispatch", always, spec)
 
 
-def test_mark_that_is_forgotten_early_runs_twice():
-    """A stamp is credited twice: the mark went before the ticket ended."""
+def test_ticket_whose_mark_is_dropped_early_runs_twice():
+    """A request runs twice: its mark was dropped before the ticket expired."""
 
-    def forget_all(book, wall_ms, rules):
-        book.uses = {r: use for r, use in book.uses.items() if not use.ended}
+    def drop_all_ended(table, wall_ms, rules):
+        table.uses = {r: u for r, u in table.uses.items() if not u.ended}
 
     spec = tickets.SPEC
-    assert find_with(tickets_rules, "drop_expired", forget_all, spec)
+    assert find_with(tickets_rules, "drop_expired", drop_all_ended, spec)
 
 
-def test_issuer_that_still_speaks_after_its_hand_over_runs_twice():
-    """A stamp is credited twice: issuer and heir both held the ticket."""
+def test_issuer_that_keeps_its_rights_after_a_hand_over_runs_twice():
+    """A request runs twice: issuer and heir both held the ticket."""
 
-    def give_and_keep(book, self_id, heir):
-        given = assign_heir(book, self_id, heir)
-        book.heir = None
-        return given
+    def hand_over_and_keep(table, self_id, heir):
+        handed = assign_heir(table, self_id, heir)
+        table.heir = None
+        return handed
 
     assign_heir = tickets_rules.assign_heir
     spec = tickets.SPEC
-    assert find_with(tickets_rules, "assign_heir", give_and_keep, spec)
+    assert find_with(tickets_rules, "assign_heir", hand_over_and_keep, spec)
--- a/tests/model/tickets.py
+++ b/tests/model/tickets.py
@@ -1,14 +1,15 @@
-"""A ticket, its issuer, the heir of a leaving issuer, and a caller's patience.
-
-The caller presents the ticket to either node at any time, as often as it
-likes; a call that reaches the wrong one is relayed, which is the same as a
-call of the right one, or lost. It gives up CALLER_WAIT ticks after its last
-call; if it then finds no run, it takes a new ticket, so a run of the first
-one after that doubles the record. The issuer may name its heir at any time,
-and the hand-over arrives late or never. Books forget what is old at any
-time. A node that marked the ticket used may sleep for any time before it
-sends, and a run may end with or without an answer. The heir's clock is SKEW
-ahead. Assumed: a call reaches its node at once or never. Bound: LAST tick.
+"""Specification of a ticket, its issuer, the issuer's heir and the caller.
+
+The caller sends the ticket to either node at any time and any number of
+times. A call to the wrong node is relayed, which is equivalent to a call to
+the right one, or lost. The caller gives up CALLER_WAIT ticks after its last
+call. If the request has not run by then, it takes a new ticket, so a later
+run of the first ticket applies the request twice. The issuer may assign its
+heir at any time; the hand-over arrives late or never. Nodes may drop expired
+marks at any time. A node that marked the ticket used may pause for any time
+before it sends, and a run may end with or without an answer. The heir's
+clock is SKEW ahead. Assumption: a call reaches its node at once or never.
+Bound: LAST tick.
 """
 
 import typing
@@ -29,149 +30,161 @@
 RIGHT = "ticket t"
 ISSUER, HEIR = ("issuer", "1"), ("heir", "1")
 ANSWER = outcomes.Answered(text="done", version="", endpoint="e")
-NOT_SENT = outcomes.NotRun(outcomes.Reason.DEADLINE, "slept too long")
+NOT_SENT = outcomes.NotRun(outcomes.Reason.DEADLINE, "paused too long")
 NODES = (ISSUER, HEIR)
 
 
 @attrs.frozen
 class Node:
-    """A book's facts about the ticket, and a run that is to be sent."""
+    """State of a node: its rights table, and a run that is to be sent.
+
+    ``received`` is when the call of that run was received.
+    """
 
     use: tickets.Use | None = None
-    speaks: bool = False
-    gave_away: bool = False
-    began: int | None = None
+    is_holder: bool = False
+    has_heir: bool = False
+    received: int | None = None
 
 
 @attrs.frozen
-class World:
-    """Both nodes, the hand-over on its way, and what the caller knows."""
+class System:
+    """State of both nodes, the hand-over in transit, and the caller."""
 
     now: int = 0
-    nodes: tuple[Node, Node] = (Node(speaks=True), Node())
-    given: tuple[tickets.Use | None] | None = None
+    nodes: tuple[Node, Node] = (Node(is_holder=True), Node())
+    handed: tuple[tickets.Use | None] | None = None
     runs: int = 0
-    called: int = 0
-    sent_anew: bool = False
+    last_call: int = 0
+    took_new_ticket: bool = False
     ran_late: bool = False
-    told_wrong: bool = False
+    false_not_run: bool = False
 
 
 def restore(node: Node, index: int) -> tickets.RightsTable:
-    """A node's book."""
-    book = tickets.RightsTable(heir=HEIR if node.gave_away else None)
+    """Restore a node's rights table."""
+    rights = tickets.RightsTable(heir=HEIR if node.has_heir else None)
     if node.use is not None:
-        book.uses[RIGHT] = node.use
-    if node.speaks and index == 1:
-        book.adopted.add(ISSUER)
-    return book
+        rights.uses[RIGHT] = node.use
+    if node.is_holder and index == 1:
+        rights.adopted.add(ISSUER)
+    return rights
 
 
-def write(node: Node, index: int, book: tickets.RightsTable) -> Node:
-    """A node with another book."""
+def write(node: Node, index: int, rights: tickets.RightsTable) -> Node:
+    """Return the node with the state of its rights table."""
     return attrs.evolve(
         node,
-        use=book.uses.get(RIGHT),
-        speaks=tickets.holds(book, ISSUER, NODES[index]),
-        gave_away=book.heir is not None,
+        use=rights.uses.get(RIGHT),
+        is_holder=tickets.holds(rights, ISSUER, NODES[index]),
+        has_heir=rights.heir is not None,
     )
 
 
-def replace(world: World, index: int, node: Node) -> World:
-    """The world with another node in a place."""
-    one, other = world.nodes
+def replace(system: System, index: int, node: Node) -> System:
+    """Return the system with a node replaced."""
+    one, other = system.nodes
     nodes = (one, node) if index else (node, other)
-    return attrs.evolve(world, nodes=nodes)
-
-
-def list_steps(world: World) -> typing.Iterator[kripke.Step]:
-    """Everything that may happen next."""
-    if world.now < LAST:
-        yield "a tick", attrs.evolve(world, now=world.now + 1)
-    patient = world.now < world.called + CALLER_WAIT
-    if not patient and world.runs == 0 and not world.sent_anew:
-        anew = attrs.evolve(world, sent_anew=True)
-        yield "the caller takes a new ticket", anew
-    issuer = world.nodes[0]
-    if not issuer.gave_away:
-        book = restore(issuer, 0)
-        given = tickets.assign_heir(book, ISSUER, HEIR)
-        assert given is not None
-        left = replace(world, 0, write(issuer, 0, book))
-        parcel = (given.uses.get(RIGHT),)
-        yield "the issuer names its heir", attrs.evolve(left, given=parcel)
-    if world.given is not None:
-        yield "the hand-over arrives", take_over(world)
-    for index, node in enumerate(world.nodes):
-        if not world.sent_anew:
-            yield f"{NODES[index][0]} is called", take_call(world, index)
-        book = restore(node, index)
-        tickets.drop_expired(book, world.now + index * SKEW, RULES)
-        lighter = replace(world, index, write(node, index, book))
-        yield f"{NODES[index][0]} forgets", lighter
-        if node.began is not None:
-            yield f"{NODES[index][0]} goes on", dispatch(world, index)
+    return attrs.evolve(system, nodes=nodes)
+
+
+def list_steps(system: System) -> typing.Iterator[kripke.Step]:
+    """List all steps that may happen next."""
+    if system.now < LAST:
+        yield "a tick", attrs.evolve(system, now=system.now + 1)
+    is_waiting = system.now < system.last_call + CALLER_WAIT
+    if not is_waiting and system.runs == 0 and not system.took_new_ticket:
+        renewed = attrs.evolve(system, took_new_ticket=True)
+        yield "the caller takes a new ticket", renewed
+    issuer = system.nodes[0]
+    if not issuer.has_heir:
+        rights = restore(issuer, 0)
+        handed = tickets.assign_heir(rights, ISSUER, HEIR)
+        assert handed is not None
+        left = replace(system, 0, write(issuer, 0, rights))
+        marks = (handed.uses.get(RIGHT),)
+        yield (
+            "the issuer assigns its heir",
+            attrs.evolve(left, handed=marks),
+        )
+    if system.handed is not None:
+        yield "the hand-over arrives", receive_hand_over(system)
+    for index, node in enumerate(system.nodes):
+        if not system.took_new_ticket:
+            yield (
+                f"{NODES[index][0]} is called",
+                receive_call(system, index),
+            )
+        rights = restore(node, index)
+        tickets.drop_expired(rights, system.now + index * SKEW, RULES)
+        trimmed = replace(system, index, write(node, index, rights))
+        yield f"{NODES[index][0]} drops expired marks", trimmed
+        if node.received is not None:
+            yield f"{NODES[index][0]} resumes", dispatch(system, index)
         elif node.use is not None and not node.use.ended:
-            for outcome in (ANSWER, tickets_unknown()):
-                book = restore(node, index)
-                tickets.record_outcome(book, RIGHT, outcome)
-                ended = replace(world, index, write(node, index, book))
-                yield f"{NODES[index][0]} ends", ended
+            for outcome in (ANSWER, make_unknown()):
+                rights = restore(node, index)
+                tickets.record_outcome(rights, RIGHT, outcome)
+                ended = replace(system, index, write(node, index, rights))
+                yield f"{NODES[index][0]} ends its run", ended
 
 
-def tickets_unknown() -> outcomes.Unknown:
-    """The outcome of a run that gave no answer."""
+def make_unknown() -> outcomes.Unknown:
+    """Make the outcome of a run without an answer."""
     return outcomes.Unknown(outcomes.Reason.ENDPOINT_SILENT, "look")
 
 
-def take_over(world: World) -> World:
-    """The heir takes the marks and the right to speak."""
-    assert world.given is not None
-    (use,) = world.given
+def receive_hand_over(system: System) -> System:
+    """The heir adopts the marks and the issuer's rights."""
+    assert system.handed is not None
+    (use,) = system.handed
     uses = {} if use is None else {RIGHT: use}
-    book = restore(world.nodes[1], 1)
-    given = tickets.HandOver(issuers=frozenset({ISSUER}), uses=uses)
-    tickets.adopt(book, given)
-    world = replace(world, 1, write(world.nodes[1], 1, book))
-    return attrs.evolve(world, given=None)
-
-
-def take_call(world: World, index: int) -> World:
-    """The caller presents its ticket to a node."""
-    node = world.nodes[index]
-    book = restore(node, index)
-    world = attrs.evolve(world, called=world.now)
-    if not tickets.holds(book, ISSUER, NODES[index]):
-        return world
-    wall = world.now + index * SKEW
-    match tickets.decide(book, RIGHT, EXPIRES, wall, RULES):
+    rights = restore(system.nodes[1], 1)
+    handed = tickets.HandOver(issuers=frozenset({ISSUER}), uses=uses)
+    tickets.adopt(rights, handed)
+    system = replace(system, 1, write(system.nodes[1], 1, rights))
+    return attrs.evolve(system, handed=None)
+
+
+def receive_call(system: System, index: int) -> System:
+    """A node receives a call with the ticket."""
+    node = system.nodes[index]
+    rights = restore(node, index)
+    system = attrs.evolve(system, last_call=system.now)
+    if not tickets.holds(rights, ISSUER, NODES[index]):
+        return system
+    wall_ms = system.now + index * SKEW
+    match tickets.decide(rights, RIGHT, EXPIRES, wall_ms, RULES):
         case tickets.Run():
-            tickets.mark_used(book, RIGHT, EXPIRES)
-            node = write(node, index, book)
-            marked = attrs.evolve(node, began=world.now)
-            return replace(world, index, marked)
+            tickets.mark_used(rights, RIGHT, EXPIRES)
+            node = write(node, index, rights)
+            marked = attrs.evolve(node, received=system.now)
+            return replace(system, index, marked)
         case tickets.Refuse(outcomes.NotRun()):
-            return attrs.evolve(world, told_wrong=world.runs > 0)
-    return world
+            return attrs.evolve(system, false_not_run=system.runs > 0)
+    return system
+
 
+def dispatch(system: System, index: int) -> System:
+    """The holder sends, unless it was paused for too long."""
+    node = system.nodes[index]
+    assert node.received is not None
+    idle = attrs.evolve(node, received=None)
+    if not claims.may_dispatch(node.received, system.now, DISPATCH_WITHIN):
+        rights = restore(idle, index)
+        tickets.record_outcome(rights, RIGHT, NOT_SENT)
+        return replace(system, index, write(idle, index, rights))
+    late = system.ran_late or system.took_new_ticket
+    system = replace(system, index, idle)
+    return attrs.evolve(system, runs=system.runs + 1, ran_late=late)
 
-def dispatch(world: World, index: int) -> World:
-    """The holder sends, unless it has slept for too long."""
-    node = world.nodes[index]
-    assert node.began is not None
-    rested = attrs.evolve(node, began=None)
-    if not claims.may_dispatch(node.began, world.now, DISPATCH_WITHIN):
-        book = restore(rested, index)
-        tickets.record_outcome(book, RIGHT, NOT_SENT)
-        return replace(world, index, write(rested, index, book))
-    late = world.ran_late or world.sent_anew
-    world = replace(world, index, rested)
-    return attrs.evolve(world, runs=world.runs + 1, ran_late=late)
 
+def is_bad(system: System) -> bool:
+    """Whether the request ran twice or late, or "not run" was false.
 
-def is_bad(world: World) -> bool:
-    """It ran twice, or too late, or "not run" was said of a run."""
-    return world.runs > 1 or world.ran_late or world.told_wrong
+    A run is late if the caller has already taken a new ticket.
+    """
+    return system.runs > 1 or system.ran_late or system.false_not_run
 
 
-SPEC = kripke.Spec(World(), list_steps, is_bad)
+SPEC = kripke.Spec(System(), list_steps, is_bad)
