--- a/tests/failures/test_agreed_billing.py
+++ b/tests/failures/test_agreed_billing.py
@@ -1,4 +1,4 @@
-"""Bills while the log and entry VMs fail."""
+"""Tests that requests are billed while the log and entry VMs fail."""
 
 import signal
 import time
@@ -23,7 +23,7 @@
 
 
 def complete(vm: deployment.EntryProcess, key: str) -> deployment.Reply:
-    """Ask for a completion under a caller's own key."""
+    """Request a completion with a caller's own key."""
     return deployment.call(
         "POST",
         vm.callers,
@@ -34,7 +34,7 @@
 
 
 def read_bills(running: deployment.Deployment) -> list[dict]:
-    """Every record of the stream, doubles and all."""
+    """Read all records of the stream, including duplicates."""
     reply = deployment.call(
         "GET",
         running.addresses["log"],
@@ -44,20 +44,20 @@
 
 
 def list_billed(running: deployment.Deployment) -> set[str]:
-    """Request keys that the log has a bill for."""
+    """List the request keys that have a bill in the log."""
     return {bill["request_key"] for bill in read_bills(running)}
 
 
-def test_bills_survive_an_outage_and_the_node_that_made_them():
-    """The log is down, answers go out, and the entry VM is killed.
+def test_bills_survive_an_outage_and_a_crash_of_their_node():
+    """The entry VM answers while the log is down, and is then killed.
 
-    Its restarted self knows nothing of the bills. Unless the buddies append
-    them under the old incarnation, the answers are never paid for.
+    After its restart it has no record of the bills. Unless the buddies
+    append them for the old incarnation, the answers are never billed.
     """
     with once.run_linked(SMALL) as running:
         vm = running.entry_vms[0]
         running.switch("log", down=True)
-        keys = {f"dark-{number}" for number in range(5)}
+        keys = {f"outage-{number}" for number in range(5)}
         for key in keys:
             assert complete(vm, key).status == 200
         assert vm.process is not None
@@ -69,10 +69,10 @@
         assert once.wait_until(lambda: keys <= list_billed(running), 25)
 
 
-def test_planned_stop_in_an_outage_hands_its_bills_over():
-    """A VM is replaced on plan while the log is down.
+def test_planned_stop_during_an_outage_hands_over_its_bills():
+    """An entry VM is stopped as planned while the log is down.
 
-    The stop must neither hang until the log is back nor lose the bills.
+    The stop must neither wait for the log to recover nor lose the bills.
     """
     with once.run_linked(SMALL) as running:
         vm = running.entry_vms[0]
@@ -85,10 +85,10 @@
         assert once.wait_until(lambda: "handed" in list_billed(running))
 
 
-def test_lost_answers_of_the_log_bill_each_request_once():
-    """Appends take effect and their answers are lost.
+def test_each_request_is_billed_once_when_the_log_loses_responses():
+    """Appends take effect, but their responses are lost.
 
-    The node appends again; the stream then holds doubles, the ledger must
+    The node appends again, so the stream holds duplicates; the ledger must
     not.
     """
     with once.run_linked(SMALL) as running:
@@ -102,20 +102,20 @@
         assert "each once" in bills.check(file)
 
 
-def test_alone_and_without_the_log_nothing_is_run_unbilled():
-    """A single VM is cut off from its peers and from the log.
+def test_isolated_entry_vm_without_the_log_runs_nothing_unbilled():
+    """A single entry VM has no peers and cannot reach the log.
 
-    No copy of a bill could be made anywhere. Work under way is reported as
-    not whole within seconds, and new work is refused as not run.
+    No copy of a bill can be stored anywhere. A running request fails within
+    seconds with an unknown outcome, and new ones are refused as not run.
     """
-    alone = attrs.evolve(SMALL, entry_vms=1)
-    with deployment.Deployment(alone) as running:
+    single = attrs.evolve(SMALL, entry_vms=1)
+    with deployment.Deployment(single) as running:
         vm = running.entry_vms[0]
         running.switch("log", down=True)
-        began = time.monotonic()
+        sent_s = time.monotonic()
         first = complete(vm, "first")
         assert (first.status, first.json()["not_run"]) == (502, False)
-        assert time.monotonic() - began < 15
+        assert time.monotonic() - sent_s < 15
         second = complete(vm, "second")
         assert second.json()["reason"] == "not-billable"
         assert second.json()["not_run"] is True
--- a/tests/failures/test_proofs.py
+++ b/tests/failures/test_proofs.py
@@ -1,7 +1,7 @@
-"""Properties under failures that must happen at one certain moment.
+"""Tests of properties under faults injected at one exact point.
 
-Each test named "without" takes a guard away and shows that the test of the
-same fault would notice: see docs/PROOFS.md.
+Each test named "without" removes a guard and shows that the test of the same
+fault would then fail: see docs/PROOFS.md.
 """
 
 import concurrent.futures
@@ -26,19 +26,19 @@
 THREE = attrs.evolve(linked.SMALL, entry_vms=3)
 
 
-def take_ticket(vm: deployment.EntryProcess) -> dict[str, str]:
-    """Headers of a call with a new ticket."""
+def make_ticket_headers(vm: deployment.EntryProcess) -> dict[str, str]:
+    """Take a ticket and return the headers of a call with it."""
     reply = deployment.call("POST", vm.callers, "/v1/tickets", {}, AUTH)
     return {**AUTH, "Carawayward-Ticket": reply.json()["ticket"]}
 
 
-def log_swap(
+def call_log_operation(
     vm: deployment.EntryProcess,
     headers: dict[str, str],
     text: str,
     timeout_s: float = 10.0,
 ) -> deployment.Reply | None:
-    """Call an operation that may not be repeated; None for no answer."""
+    """Call the non-repeatable operation "log"; None if there is no answer."""
     path = "/v1/services/desk/log"
     try:
         return deployment.call(
@@ -49,7 +49,7 @@
 
 
 def count_runs(running: linked.LinkedDeployment, text: str) -> int:
-    """How often the plain services have run a call."""
+    """Count the runs of a call at the endpoints of the service."""
     return sum(
         run["body"]["text"] == text
         for name in running.pools["desk"]
@@ -58,12 +58,12 @@
 
 
 def read_revision(vm: deployment.EntryProcess) -> int:
-    """The revision that an entry VM serves."""
+    """Read the revision that an entry VM serves."""
     return deployment.call("GET", vm.callers, "/readyz").json()["revision"]
 
 
-def ask_ready(vm: deployment.EntryProcess) -> int:
-    """Status of an entry VM's readiness."""
+def check_readiness(vm: deployment.EntryProcess) -> int:
+    """Return the status code of an entry VM's readiness check."""
     return deployment.call("GET", vm.callers, "/readyz").status
 
 
@@ -73,25 +73,27 @@
     """Wait until a condition holds."""
     deadline = time.monotonic() + timeout_s
     while not condition():
-        assert time.monotonic() < deadline, "it did not happen in time"
+        assert time.monotonic() < deadline, (
+            "condition not met before the time-out"
+        )
         time.sleep(0.05)
 
 
 def is_stopped(vm: deployment.EntryProcess) -> bool:
-    """Whether an entry VM's process is frozen."""
+    """Whether an entry VM's process is stopped by a signal."""
     assert vm.process is not None
     stat = pathlib.Path(f"/proc/{vm.process.pid}/stat").read_text()
     return stat.rpartition(")")[2].split()[0] == "T"
 
 
-def wake_late(guards: str) -> int:
-    """Runs after a ticket's holder woke long after its caller gave up."""
+def count_runs_after_late_resume(guards: str) -> int:
+    """Count the runs after a holder resumes long after its caller gave up."""
     daemon = f"{linked.UNGUARDED} {guards}"
     with linked.LinkedDeployment(plan=TWO, daemon=daemon) as running:
         vm = running.entry_vms[0]
-        headers = take_ticket(vm)
+        headers = make_ticket_headers(vm)
         with concurrent.futures.ThreadPoolExecutor(1) as pool:
-            first = pool.submit(log_swap, vm, headers, "swap", 1.0)
+            first = pool.submit(call_log_operation, vm, headers, "swap", 1.0)
             wait_until(lambda: is_stopped(vm))
             assert first.result() is None
         time.sleep(DISPATCH_WITHIN_S + 0.5)
@@ -102,39 +104,42 @@
         return count_runs(running, "swap")
 
 
-def test_holder_that_slept_between_mark_and_send_does_not_run():
-    """A stamp is credited although its caller has long given up.
+def test_holder_paused_between_mark_and_send_does_not_run():
+    """A call runs long after its caller has given up.
 
-    The ticket's holder is frozen between marking the ticket used and sending
-    the call. The caller gets no answer, finds no stamp, and may do it anew.
-    The holder wakes and still believes that it is in charge.
+    The ticket's holder is paused between marking the ticket used and sending
+    the call. The caller gets no answer, finds no effect, and may call again
+    with a new ticket. Then the holder resumes, with the call still to send.
     """
-    assert wake_late("pause") == 0
+    assert count_runs_after_late_resume("pause") == 0
+
 
+def test_without_the_dispatch_limit_the_resumed_holder_runs():
+    """The test above fails without the limit."""
+    assert count_runs_after_late_resume("pause,woken") == 1
 
-def test_without_the_dispatch_limit_the_woken_holder_runs():
-    """The test above notices when the limit is gone."""
-    assert wake_late("pause,woken") == 1
 
+def resend_ticket(daemon: str) -> list[int]:
+    """Count the runs of a ticket sent before, during and after its first run.
 
-def resend(daemon: str) -> list[int]:
-    """Runs after a ticket was sent before, during and after its first run."""
+    Counted while the issuer runs, and after it was killed.
+    """
     with linked.LinkedDeployment(plan=THREE, daemon=daemon) as running:
         issuer, *others = running.entry_vms
         for name in running.pools["desk"]:
             running.switch(name, late_ms=600)
-        headers = take_ticket(issuer)
+        headers = make_ticket_headers(issuer)
         with concurrent.futures.ThreadPoolExecutor(3) as pool:
             replies = list(
                 pool.map(
-                    lambda vm: log_swap(vm, headers, "swap"),
+                    lambda vm: call_log_operation(vm, headers, "swap"),
                     [*others, issuer],
                 )
             )
-        replies += [log_swap(vm, headers, "swap") for vm in others]
+        replies += [call_log_operation(vm, headers, "swap") for vm in others]
         runs = [count_runs(running, "swap")]
         running.kill(issuer)
-        last = log_swap(others[0], headers, "swap")
+        last = call_log_operation(others[0], headers, "swap")
         assert last is not None and last.status == 504
         assert not last.json()["not_run"]
         runs.append(count_runs(running, "swap"))
@@ -146,58 +151,65 @@
 
 
 def test_ticket_resent_through_other_nodes_runs_once():
-    """A puzzle is promised twice.
+    """A call runs twice.
 
     The caller sends its ticket through two other nodes before the issuer has
     run it, through the issuer during the run, through others after it, and
-    once more when the issuer has died.
+    again after the issuer was killed.
     """
-    assert resend(linked.DAEMON) == [1, 1]
+    assert resend_ticket(linked.DAEMON) == [1, 1]
 
 
-def test_without_the_book_a_resent_ticket_runs_again():
-    """The test above notices when the book is not asked."""
-    assert resend(f"{linked.UNGUARDED} mark")[0] > 1
+def test_without_the_rights_table_a_resent_ticket_runs_again():
+    """The test above fails if the rights table is not consulted."""
+    assert resend_ticket(f"{linked.UNGUARDED} mark")[0] > 1
 
 
-def resend_to_leaving(daemon: str) -> list[bool]:
-    """Whether a leaving node says "not run" of a resend, and of a first."""
+def list_not_run_from_leaving(daemon: str) -> list[bool]:
+    """Whether a leaving node says "not run" to a resend and a first call."""
     stop = {"unready_ms": 4_000, "deadline_ms": 15_000}
     plan = attrs.evolve(TWO, settings={**linked.SETTINGS, "stop": stop})
     with linked.LinkedDeployment(plan=plan, daemon=daemon) as running:
         leaving, other = running.entry_vms
-        headers = take_ticket(other)
-        first = log_swap(other, headers, "swap")
+        headers = make_ticket_headers(other)
+        first = call_log_operation(other, headers, "swap")
         assert first is not None and first.status == 200
         assert leaving.process is not None
         leaving.process.terminate()
-        wait_until(lambda: ask_ready(leaving) == 503)
+        wait_until(lambda: check_readiness(leaving) == 503)
         replies = [
-            log_swap(leaving, headers, "swap"),
-            log_swap(leaving, {**headers, "Carawayward-Attempt": "1"}, "x"),
+            call_log_operation(leaving, headers, "swap"),
+            call_log_operation(
+                leaving, {**headers, "Carawayward-Attempt": "1"}, "x"
+            ),
         ]
         return [reply.json()["not_run"] for reply in replies if reply]
 
 
-def test_leaving_node_does_not_call_a_resent_ticket_not_run():
-    """A parcel is logged twice.
+def test_leaving_node_does_not_answer_not_run_to_a_resent_ticket():
+    """A call runs twice.
 
-    The caller lost the answer of its first attempt and sends its ticket
-    through a node that is stopping. Told "not run", it takes a new ticket.
+    The answer to the caller's first attempt was lost, and it resends its
+    ticket through a node that is stopping. If that node answered "not run",
+    the caller would take a new ticket.
     """
-    assert resend_to_leaving(linked.DAEMON) == [False, True]
+    assert list_not_run_from_leaving(linked.DAEMON) == [False, True]
 
 
-def test_without_the_doubt_a_leaving_node_calls_it_not_run():
-    """The test above notices when the attempt is not asked for."""
-    assert resend_to_leaving(f"{linked.UNGUARDED} doubt") == [True, True]
+def test_without_the_retry_check_a_leaving_node_answers_not_run():
+    """The test above fails if the attempt's number is not checked."""
+    assert list_not_run_from_leaving(f"{linked.UNGUARDED} doubt") == [
+        True,
+        True,
+    ]
 
 
 def test_session_opened_without_a_version_never_gets_one():
-    """A pilgrim's narrative changes its version half way.
+    """A session changes its version half-way.
 
-    When the session opens, all versions of the customer's model drain, so
-    none can start one. Later one becomes current, and then another.
+    When the session is opened, all versions of the customer's model are
+    draining, so it gets none. Later one version becomes
+    active, and then another.
     """
     with linked.LinkedDeployment(plan=TWO) as running:
         time.sleep(1.5)
@@ -206,9 +218,9 @@
 
         def publish(base: int, **states: str) -> int:
             document = linked.make_document(**states)
-            told = running.publish_document(document, base)
-            wait_until(lambda: read_revision(vm) == told.revision)
-            return told.revision
+            reply = running.publish_document(document, base)
+            wait_until(lambda: read_revision(vm) == reply.revision)
+            return reply.revision
 
         draining = publish(1, cheap_1="draining", cheap_2="draining")
         opened = deployment.call("POST", vm.callers, "/v1/sessions", {}, auth)
@@ -223,20 +235,22 @@
         assert free.json()["model"] == "cheap-2"
 
 
-def run_queue(daemon: str) -> list[str]:
-    """Runs of a version after its withdrawal was in force everywhere."""
+def list_runs_after_withdrawal(daemon: str) -> list[str]:
+    """List runs of a version after its withdrawal is in force everywhere."""
     with linked.LinkedDeployment(plan=THREE, daemon=daemon) as running:
         for name in running.pools["engines"]:
             running.switch(name, late_ms=700)
         recorder = recorder_module.Recorder(running)
         work = recorder.work(seed=1, callers=40)
         time.sleep(3.0)
-        told = recorder.publish(linked.make_document(cheap_1="withdrawn"), 1)
-        assert told.accepted
+        published = recorder.publish(
+            linked.make_document(cheap_1="withdrawn"), 1
+        )
+        assert published.accepted
         seen = recorder.history.seen
         wait_until(
             lambda: (
-                {s.vm for s in seen if s.revision == told.revision}
+                {s.vm for s in seen if s.revision == published.revision}
                 == {vm.name for vm in running.entry_vms}
             )
         )
@@ -253,21 +267,21 @@
         return late
 
 
-def test_withdrawn_version_takes_nothing_that_was_queued():
-    """A pilgrim gets a page by a version that was withdrawn a while ago.
+def test_withdrawn_version_gets_no_queued_requests():
+    """A request is answered by a version that was withdrawn earlier.
 
-    More requests wait than the engines take at once. The version that they
-    were planned for is withdrawn while they wait.
+    Requests are queued because the engines are at capacity. The version that
+    was chosen for them is withdrawn while they wait.
     """
-    assert run_queue(linked.DAEMON) == []
+    assert list_runs_after_withdrawal(linked.DAEMON) == []
 
 
-def test_bill_of_a_node_frozen_after_its_answer_is_there_once():
-    """A member is not billed, or billed twice.
+def test_bill_of_a_node_paused_after_its_answer_is_counted_once():
+    """A request is not billed, or billed twice.
 
-    The node freezes right after its answer, before its bill is in the log.
-    Its buddies take it for gone and append the bill; it wakes and appends
-    the bill as well.
+    The node is paused right after its answer, before its bill is in the log.
+    Its buddies conclude that it has failed and append the bill; it resumes
+    and appends the bill as well.
     """
     with linked.LinkedDeployment(plan=THREE) as running:
         recorder = recorder_module.Recorder(running)
@@ -289,10 +303,11 @@
         assert checkers.check_bills(history) == []
 
 
-def test_of_two_racing_operators_one_wins_and_one_is_told_so():
-    """Both operators believe that their document is in force.
+def test_of_two_concurrent_publishes_one_wins_and_one_is_refused():
+    """Two operators publish concurrently, based on the same revision.
 
-    They drew their documents from the same revision and publish at once.
+    Without an explicit refusal, both would assume that their own document is
+    in force.
     """
     with linked.LinkedDeployment(plan=TWO) as running:
         documents = [
@@ -300,13 +315,13 @@
             for state in ("withdrawn", "draining")
         ]
         with concurrent.futures.ThreadPoolExecutor(2) as pool:
-            told = list(
+            replies = list(
                 pool.map(lambda d: running.publish_document(d, 1), documents)
             )
-        (winner,) = (each for each in told if each.accepted)
-        (loser,) = (each for each in told if not each.accepted)
-        told_so = f"revision {winner.revision} is in force"
-        assert told_so in loser.text, loser.text
+        (winner,) = (each for each in replies if each.accepted)
+        (loser,) = (each for each in replies if not each.accepted)
+        expected = f"revision {winner.revision} is in force"
+        assert expected in loser.text, loser.text
         wait_until(
             lambda: (
                 {read_revision(vm) for vm in running.entry_vms}
@@ -315,12 +330,12 @@
         )
 
 
-def test_replacing_every_first_node_under_work_forgets_nothing():
-    """After a week of replacements the circle's swaps look new again.
+def test_replacing_all_initial_nodes_under_load_loses_no_state():
+    """State is lost after all entry VMs were replaced one by one.
 
-    Each entry VM is replaced while callers go on, until none of the first is
-    left. A key that ran on the first node is sent once more, a session goes
-    on, the configuration stands, and every answer has its bill.
+    Each initial entry VM is replaced while callers continue. Afterwards, a
+    key that ran on the first of them is sent again and does not run, sessions
+    continue, the configuration is unchanged, and every answer has its bill.
     """
     with linked.LinkedDeployment(plan=TWO, spares=2) as running:
         time.sleep(1.5)
@@ -329,11 +344,13 @@
             "Idempotency-Key": "swap",
             "Carawayward-Key-Made-At": str(time.time_ns() // 10**6),
         }
-        first = log_swap(running.entry_vms[0], key, "swap")
+        first = call_log_operation(running.entry_vms[0], key, "swap")
         assert first is not None and first.status == 200
         recorder = recorder_module.Recorder(running)
         work = recorder.work(seed=2)
-        told = recorder.publish(linked.make_document(cheap_2="draining"), 1)
+        published = recorder.publish(
+            linked.make_document(cheap_2="draining"), 1
+        )
         for vm in list(running.entry_vms):
             asked_ms = recorder_module.now_ms()
             running.replace(vm)
@@ -347,19 +364,19 @@
             )
         time.sleep(1.0)
         work.stop()
-        again = log_swap(running.entry_vms[0], key, "swap")
+        again = call_log_operation(running.entry_vms[0], key, "swap")
         assert count_runs(running, "swap") == 1
         assert again is not None and not again.json().get("not_run")
         last = max(recorder.history.seen, key=lambda seen: seen.at_ms)
-        assert last.revision == told.revision
-        recorder.history.calls.append(make_known("swap"))
+        assert last.revision == published.revision
+        recorder.history.calls.append(make_answered_call("swap"))
         wait_until(lambda: checkers.check_bills(recorder.collect()) == [])
         found = checkers.check_all(recorder.collect())
         assert found == [], found
 
 
-def make_known(key: str) -> events.Call:
-    """An answered call that was sent beside the recorder."""
+def make_answered_call(key: str) -> events.Call:
+    """Make an answered call that was not sent by the recorder."""
     return events.Call(
         key=key,
         customer="alpha",
