--- a/src/carawayward/protocol/tickets.py
+++ b/src/carawayward/protocol/tickets.py
@@ -195,18 +195,16 @@
 
 
 def drop_expired_issuers(
-    table: RightsTable, wall_ms: int, max_validity_ms: int, rules: Rules
+    table: RightsTable, wall_ms: int, max_ttl_ms: int, rules: Rules
 ) -> None:
     """Drop adopted incarnations whose last rights expired long ago.
 
     Where VMs are replaced continuously, the list would otherwise grow with
-    every hand-over from heir to heir. ``max_validity_ms`` is the longest
+    every hand-over from heir to heir. ``max_ttl_ms`` is the longest
     validity of a right; after it and ``retention_ms``, a resend is answered
     as lost in any case.
     """
-    horizon = (
-        wall_ms - max_validity_ms - rules.retention_ms - 2 * rules.skew_ms
-    )
+    horizon = wall_ms - max_ttl_ms - rules.retention_ms - 2 * rules.skew_ms
     for issuer, left_ms in list(table.left_ms.items()):
         if left_ms < horizon:
             table.adopted.discard(issuer)
@@ -241,14 +239,14 @@
     return HandOver(issuers=frozenset(table.adopted | {self_id}), uses=uses)
 
 
-def adopt(table: RightsTable, handed: HandOver) -> bool:
+def adopt(table: RightsTable, handed_over: HandOver) -> bool:
     """Take over a leaving node's rights; False if this one has an heir itself.
 
     Marks are adopted before the issuers, and existing marks are kept.
     """
     if table.heir is not None:
         return False
-    for right, use in handed.uses.items():
+    for right, use in handed_over.uses.items():
         table.uses.setdefault(right, use)
-    table.adopted |= handed.issuers
+    table.adopted |= handed_over.issuers
     return True
--- a/tests/cover/test_tickets.py
+++ b/tests/cover/test_tickets.py
@@ -85,24 +85,24 @@
     before it has received the hand-over.
     """
     old, heir = tickets.RightsTable(), tickets.RightsTable()
-    handed = tickets.assign_heir(old, ("a", "1"), ("b", "1"))
-    assert handed is not None
+    handed_over = tickets.assign_heir(old, ("a", "1"), ("b", "1"))
+    assert handed_over is not None
     assert tickets.assign_heir(old, ("a", "1"), ("c", "1")) is None
     assert decide(old) == tickets.Relay(("b", "1"))
     assert not tickets.holds(heir, ("a", "1"), ("b", "1"))
-    assert tickets.adopt(heir, handed)
+    assert tickets.adopt(heir, handed_over)
     assert tickets.holds(heir, ("a", "1"), ("b", "1"))
     assert isinstance(decide(heir), tickets.Run)
 
 
 def test_heir_that_is_leaving_itself_adopts_nothing():
     heir = tickets.RightsTable(heir=("c", "1"))
-    handed = tickets.HandOver(issuers=frozenset([("a", "1")]), uses={})
-    assert not tickets.adopt(heir, handed)
+    handed_over = tickets.HandOver(issuers=frozenset([("a", "1")]), uses={})
+    assert not tickets.adopt(heir, handed_over)
 
 
 def test_heir_drops_issuers_that_left_long_ago():
-    """VMs are replaced every few minutes, each the heir of the last."""
+    """VMs are replaced every few minutes for a year, each with an heir."""
     table = tickets.RightsTable(
         adopted={("a", "1"), ("b", "1")},
         left_ms={("a", "1"): 0, ("b", "1"): 500},
@@ -143,7 +143,7 @@
                     tickets.record_outcome(table, "r", REFUSED)
                     runs -= 1
         if table is issuer:
-            handed = tickets.assign_heir(issuer, ("a", "1"), ("b", "1"))
-            if delivered and handed is not None:
-                tickets.adopt(heir, handed)
+            handed_over = tickets.assign_heir(issuer, ("a", "1"), ("b", "1"))
+            if delivered and handed_over is not None:
+                tickets.adopt(heir, handed_over)
     assert runs <= 1
--- a/tests/failures/test_proofs.py
+++ b/tests/failures/test_proofs.py
@@ -165,7 +165,7 @@
     assert resend_ticket(f"{linked.UNGUARDED} mark")[0] > 1
 
 
-def list_not_run_from_leaving(daemon: str) -> list[bool]:
+def list_not_run_answers(daemon: str) -> list[bool]:
     """Whether a leaving node says "not run" to a resend and a first call."""
     stop = {"unready_ms": 4_000, "deadline_ms": 15_000}
     plan = attrs.evolve(TWO, settings={**linked.SETTINGS, "stop": stop})
@@ -193,12 +193,12 @@
     ticket through a node that is stopping. If that node answered "not run",
     the caller would take a new ticket.
     """
-    assert list_not_run_from_leaving(linked.DAEMON) == [False, True]
+    assert list_not_run_answers(linked.DAEMON) == [False, True]
 
 
 def test_without_the_retry_check_a_leaving_node_answers_not_run():
     """The test above fails if the attempt's number is not checked."""
-    assert list_not_run_from_leaving(f"{linked.UNGUARDED} doubt") == [
+    assert list_not_run_answers(f"{linked.UNGUARDED} doubt") == [
         True,
         True,
     ]
--- a/tests/model/test_once.py
+++ b/tests/model/test_once.py
@@ -129,9 +129,9 @@
     """A request runs twice: issuer and heir both held the ticket."""
 
     def hand_over_and_keep(table, self_id, heir):
-        handed = assign_heir(table, self_id, heir)
+        handed_over = assign_heir(table, self_id, heir)
         table.heir = None
-        return handed
+        return handed_over
 
     assign_heir = tickets_rules.assign_heir
     spec = tickets.SPEC
--- a/tests/model/tickets.py
+++ b/tests/model/tickets.py
@@ -53,7 +53,7 @@
 
     now: int = 0
     nodes: tuple[Node, Node] = (Node(is_holder=True), Node())
-    handed: tuple[tickets.Use | None] | None = None
+    handed_over: tuple[tickets.Use | None] | None = None
     runs: int = 0
     last_call: int = 0
     took_new_ticket: bool = False
@@ -99,15 +99,15 @@
     issuer = system.nodes[0]
     if not issuer.has_heir:
         rights = restore(issuer, 0)
-        handed = tickets.assign_heir(rights, ISSUER, HEIR)
-        assert handed is not None
+        handed_over = tickets.assign_heir(rights, ISSUER, HEIR)
+        assert handed_over is not None
         left = replace(system, 0, write(issuer, 0, rights))
-        marks = (handed.uses.get(RIGHT),)
+        marks = (handed_over.uses.get(RIGHT),)
         yield (
             "the issuer assigns its heir",
-            attrs.evolve(left, handed=marks),
+            attrs.evolve(left, handed_over=marks),
         )
-    if system.handed is not None:
+    if system.handed_over is not None:
         yield "the hand-over arrives", receive_hand_over(system)
     for index, node in enumerate(system.nodes):
         if not system.took_new_ticket:
@@ -136,14 +136,14 @@
 
 def receive_hand_over(system: System) -> System:
     """The heir adopts the marks and the issuer's rights."""
-    assert system.handed is not None
-    (use,) = system.handed
+    assert system.handed_over is not None
+    (use,) = system.handed_over
     uses = {} if use is None else {RIGHT: use}
     rights = restore(system.nodes[1], 1)
-    handed = tickets.HandOver(issuers=frozenset({ISSUER}), uses=uses)
-    tickets.adopt(rights, handed)
+    handed_over = tickets.HandOver(issuers=frozenset({ISSUER}), uses=uses)
+    tickets.adopt(rights, handed_over)
     system = replace(system, 1, write(system.nodes[1], 1, rights))
-    return attrs.evolve(system, handed=None)
+    return attrs.evolve(system, handed_over=None)
 
 
 def receive_call(system: System, index: int) -> System:
