--- a/src/carawayward/comparison.py
+++ b/src/carawayward/comparison.py
@@ -73,7 +73,7 @@
     clashes: list[str]
 
 
-def take_over(base: Plain, mine: Plain, theirs: Plain) -> Merged:
+def merge_changes(base: Plain, mine: Plain, theirs: Plain) -> Merged:
     """Apply what turned ``base`` into ``mine`` to ``theirs``."""
     clashes: list[str] = []
     document = _merge(base, mine, theirs, "", clashes)
--- a/src/carawayward/console/pages.py
+++ b/src/carawayward/console/pages.py
@@ -336,7 +336,9 @@
         draft = drafts.Draft.from_form(values)
         state = await configuration.read_state(self.log)
         current = drafts.normalize(state.document or {})
-        merged = comparison.take_over(draft.origin, draft.document, current)
+        merged = comparison.merge_changes(
+            draft.origin, draft.document, current
+        )
         renewed = drafts.Draft(
             base=state.revision, origin=current, document=merged.document
         )
--- a/src/carawayward/controllers/buddies.py
+++ b/src/carawayward/controllers/buddies.py
@@ -145,12 +145,12 @@
             for buddy in self.placed.pop(key, ()):
                 by_buddy.setdefault(buddy, []).append(list(key))
         for buddy, rows in by_buddy.items():
-            await self.hub.tell(buddy[0], "bill.release", {"keys": rows})
+            await self.hub.notify(buddy[0], "bill.release", {"keys": rows})
 
     async def ask_to_adopt(self) -> None:
         """Tell the buddies that this node goes and appends no more."""
         for buddy in set().union(*self.placed.values()):
-            await self.hub.tell(buddy[0], "bill.adopt", {})
+            await self.hub.notify(buddy[0], "bill.adopt", {})
 
     def _find_owner(self, peer: str) -> Owner:
         link = self.hub.links.get(peer)
--- a/src/carawayward/controllers/configuration.py
+++ b/src/carawayward/controllers/configuration.py
@@ -157,7 +157,7 @@
         )
         self.board.config_since_ms = self.clock.now_ms()
         events.log_event(events.Event.CONFIG_IN_FORCE, revision=revision)
-        await self.hub.tell_all("config.news", {"revision": revision})
+        await self.hub.notify_all("config.news", {"revision": revision})
 
     async def _sync_with_peers(self) -> None:
         """Ask one peer a round for its revision and its vouch.
--- a/src/carawayward/controllers/membership.py
+++ b/src/carawayward/controllers/membership.py
@@ -56,7 +56,7 @@
         """Begin to tell peers and to hear from them."""
         self._started_ms = self.clock.wall_ms()
         self.hub.handle(KIND, self._take_members)
-        self.hub.greet_with(self._greet)
+        self.hub.add_link_callback(self._greet)
         nursery.start_soon(self._gossip)
         nursery.start_soon(self._watch_self)
 
@@ -148,11 +148,11 @@
             SILENT_BEATS * self._beat_ms(),
         )
         rows = [membership.encode_member(record) for record in records]
-        await self.hub.tell(peer, KIND, rows)
+        await self.hub.notify(peer, KIND, rows)
 
     async def _push_self(self) -> None:
         row = membership.encode_member(self.known[self.board.name].member)
-        await self.hub.tell_all(KIND, [row])
+        await self.hub.notify_all(KIND, [row])
 
     async def _gossip(self) -> None:
         while True:
@@ -176,7 +176,7 @@
             )
             rows = [membership.encode_member(record) for record in records]
             peer = peers[self._turn % len(peers)]
-            await self.hub.tell(peer, KIND, rows)
+            await self.hub.notify(peer, KIND, rows)
 
     async def _take_members(self, peer: str, body: typing.Any) -> None:
         for row in body:
--- a/src/carawayward/controllers/ratings.py
+++ b/src/carawayward/controllers/ratings.py
@@ -238,7 +238,7 @@
             self.forget()
             rows = self.choose_rows()
             if rows:
-                await self.hub.tell_all("evidence", rows)
+                await self.hub.notify_all("evidence", rows)
 
     def forget(self) -> None:
         """Drop old counters and the plans that were made from them.
--- a/src/carawayward/controllers/rollouts.py
+++ b/src/carawayward/controllers/rollouts.py
@@ -355,7 +355,7 @@
         if news == self._told and now - self._told_ms < RETELL_MS:
             return
         self._told, self._told_ms = news, now
-        await self.hub.tell_all("rollouts", body)
+        await self.hub.notify_all("rollouts", body)
 
     def describe(self) -> dict[str, typing.Any]:
         """This entry VM's knowledge, for peers."""
--- a/src/carawayward/controllers/sightings.py
+++ b/src/carawayward/controllers/sightings.py
@@ -110,7 +110,7 @@
             fact = sightings.make_fact(seen, self.clock.now_ms())
             if fact is not None:
                 row = membership.encode_fact(fact)
-                await self.hub.tell_all("endpoints", [row])
+                await self.hub.notify_all("endpoints", [row])
 
     def _write_board(self) -> None:
         now = self.clock.now_ms()
@@ -219,7 +219,7 @@
                 await self._ask_table(peer)
             rows = self._list_facts(FACTS)
             if rows:
-                await self.hub.tell(peer, "endpoints", rows)
+                await self.hub.notify(peer, "endpoints", rows)
 
     def _list_facts(self, count: int) -> list[list]:
         """The next facts in turn."""
--- a/src/carawayward/controllers/suspects.py
+++ b/src/carawayward/controllers/suspects.py
@@ -173,7 +173,7 @@
             facts = [self.unsent.popleft() for _ in range(count)]
             if not self.unsent:
                 self.news = trio.Event()
-            await self.hub.tell_all("suspects", facts)
+            await self.hub.notify_all("suspects", facts)
             await self.clock.sleep(LEAST_PAUSE_MS)
 
     async def _tell_slices(self) -> None:
@@ -184,7 +184,7 @@
             facts = self._make_slice()
             if peers and facts:
                 peer = peers[self.slices % len(peers)]
-                await self.hub.tell(peer, "suspects", facts)
+                await self.hub.notify(peer, "suspects", facts)
 
     def _make_slice(self) -> list[list]:
         """The next few of all known facts, in turn."""
--- a/src/carawayward/daemon.py
+++ b/src/carawayward/daemon.py
@@ -154,7 +154,7 @@
                     metrics,
                     settings.statsd,
                     f"carawayward.{settings.name}",
-                    lambda: read_gauges(board, bills),
+                    lambda: collect_gauges(board, bills),
                 ),
             ],
             clients=[log, vms],
@@ -170,7 +170,7 @@
                 metrics,
                 clock,
                 tuple(settings.keys.operators),
-                lambda: read_gauges(board, bills),
+                lambda: collect_gauges(board, bills),
             ),
             console=console_pages.Console.from_config(
                 settings, board, clock, log
@@ -212,7 +212,7 @@
                     await anext(signals)
                     await stop.run(signals)
                     if stop.cut:
-                        stopping.exit_soon()
+                        stopping.force_exit_later()
                     serving.cancel_scope.deadline = (
                         trio.current_time() + LISTENERS_CLOSE_S
                     )
@@ -224,7 +224,7 @@
             events.Event.NODE_STOPPED, node=self.board.name, cut=stop.cut
         )
         if stop.cut:
-            raise SystemExit(stopping.CUT_EXIT)
+            raise SystemExit(stopping.CUT_EXIT_CODE)
 
     def _start_serving(
         self,
@@ -260,7 +260,7 @@
         # peers are linked, what they hold cannot be asked for. The wait
         # ends, since a refusal with a reason is better than a VM that hangs.
         with trio.move_on_after(SURVEY_WAIT_MS / 1000):
-            while not (self.board.surveyed and self.hub.has_tried()):
+            while not (self.board.surveyed and self.hub.has_tried_seeds()):
                 await self.clock.sleep(POLL_MS)
         if self.board.state is blackboard_module.NodeState.STARTING:
             self.board.state = blackboard_module.NodeState.READY
@@ -282,7 +282,7 @@
     )
 
 
-def read_gauges(
+def collect_gauges(
     board: blackboard_module.Blackboard, bills: billing.BillingController
 ) -> dict[str, float]:
     """Figures that rise and fall."""
--- a/src/carawayward/declaration.py
+++ b/src/carawayward/declaration.py
@@ -173,7 +173,7 @@
             "format", declaration.format, f"write {FORMAT}"
         )
     for field in FIELDS_BY_NAME:
-        naming.check_names(
+        naming.check_unique_names(
             field, [x.name for x in getattr(declaration, field)]
         )
     models = {model.name for model in declaration.models}
@@ -184,13 +184,15 @@
         check_task(task, models)
     for customer in declaration.customers:
         prefix = f"customers.{customer.name}"
-        naming.check_known(f"{prefix}.tasks", customer.tasks, tasks)
-        naming.check_known(f"{prefix}.models", customer.models, models)
-        naming.check_known(f"{prefix}.services", customer.services, services)
+        naming.check_references(f"{prefix}.tasks", customer.tasks, tasks)
+        naming.check_references(f"{prefix}.models", customer.models, models)
+        naming.check_references(
+            f"{prefix}.services", customer.services, services
+        )
         check_customer(customer)
     for service in declaration.services:
         names = [operation.name for operation in service.operations]
-        naming.check_names(f"services.{service.name}.operations", names)
+        naming.check_unique_names(f"services.{service.name}.operations", names)
     states = {
         model.name: {v.name: v.state.value for v in model.versions}
         for model in declaration.models
@@ -209,7 +211,7 @@
 def check_versions(models: list[Model]) -> None:
     """Check that version names are unique over all models."""
     names = [version.name for model in models for version in model.versions]
-    naming.check_names("models.versions", names)
+    naming.check_unique_names("models.versions", names)
     for model in models:
         if not model.versions:
             raise errors.DeclarationError(
@@ -227,8 +229,8 @@
 def check_task(task: Task, models: set[str]) -> None:
     """Check one task's cascade."""
     prefix = f"tasks.{task.name}"
-    naming.check_known(f"{prefix}.cascade", task.cascade, models)
-    naming.check_names(f"{prefix}.cascade", task.cascade)
+    naming.check_references(f"{prefix}.cascade", task.cascade, models)
+    naming.check_unique_names(f"{prefix}.cascade", task.cascade)
     if not task.cascade:
         raise errors.DeclarationError(
             f"{prefix}.cascade", [], "name at least one model"
--- a/src/carawayward/forwarding/feed.py
+++ b/src/carawayward/forwarding/feed.py
@@ -99,7 +99,7 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Begin to follow."""
-        nursery.start_soon(supervision.keep_running, self._follow, ())
+        nursery.start_soon(supervision.run_with_restarts, self._follow, ())
 
     async def close(self) -> None:
         """Nothing to release; the nursery ends the task."""
--- a/src/carawayward/forwarding/freshness.py
+++ b/src/carawayward/forwarding/freshness.py
@@ -140,7 +140,9 @@
     async def start(self, nursery: trio.Nursery) -> None:
         """Begin to query."""
         self.started_ms = self.clock.boot_ms()
-        nursery.start_soon(supervision.keep_running, self._query_forever, ())
+        nursery.start_soon(
+            supervision.run_with_restarts, self._query_forever, ()
+        )
 
     async def close(self) -> None:
         """Nothing to release; the nursery ends the task."""
--- a/src/carawayward/forwarding/load_reports.py
+++ b/src/carawayward/forwarding/load_reports.py
@@ -111,10 +111,10 @@
         self._socket = trio.socket.from_stdlib_socket(udp_socket)
         await self.registration.start(nursery)
         for task in (self._listen, self._join):
-            nursery.start_soon(supervision.keep_running, task, ())
+            nursery.start_soon(supervision.run_with_restarts, task, ())
         for channel in self.channels:
             nursery.start_soon(
-                supervision.keep_running, self._send_reports, (channel,)
+                supervision.run_with_restarts, self._send_reports, (channel,)
             )
 
     async def close(self) -> None:
--- a/src/carawayward/forwarding/registration.py
+++ b/src/carawayward/forwarding/registration.py
@@ -34,7 +34,9 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Begin to follow the store's eras."""
-        nursery.start_soon(supervision.keep_running, self._follow_eras, ())
+        nursery.start_soon(
+            supervision.run_with_restarts, self._follow_eras, ()
+        )
 
     async def close(self) -> None:
         """Nothing to release; the nursery ends the task."""
--- a/src/carawayward/forwarding/rollout_rounds.py
+++ b/src/carawayward/forwarding/rollout_rounds.py
@@ -76,7 +76,7 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Start the rounds."""
-        nursery.start_soon(supervision.keep_running, self._run_rounds, ())
+        nursery.start_soon(supervision.run_with_restarts, self._run_rounds, ())
 
     async def close(self) -> None:
         """Nothing to release; the nursery ends the task."""
--- a/src/carawayward/gateway/connections.py
+++ b/src/carawayward/gateway/connections.py
@@ -104,7 +104,7 @@
 
     async def _send_unwritten(self, timeout: float | None) -> None:
         data, self.unwritten = self.unwritten, b""
-        data = data[http.write_now(self.stream, data) :]
+        data = data[http.write_nonblocking(self.stream, data) :]
         if not data:
             return
         with trio.move_on_after(timeout or float("inf")):
--- a/src/carawayward/gateway/handover.py
+++ b/src/carawayward/gateway/handover.py
@@ -91,7 +91,7 @@
     hub: hub_module.PeerHub, heir: NodeId, kind: str, body: dict
 ) -> None:
     """Send one part; raise PeerUnavailable unless the heir took it."""
-    link = await hub.reach(heir[0])
+    link = await hub.get_link(heir[0])
     if link.incarnation != heir[1]:
         raise errors.PeerUnavailable(f"peer {heir[0]}: restarted")
     if not await hub.call(heir[0], kind, body, HAND_OVER_TIMEOUT_MS):
--- a/src/carawayward/gateway/lifecycle.py
+++ b/src/carawayward/gateway/lifecycle.py
@@ -73,7 +73,7 @@
         watch = self.metrics.watch(customer.name, request.task)
 
         async def record_text(text: str) -> None:
-            watch.record_piece()
+            watch.record_chunk()
             await on_text(text)
 
         outcome = await self._complete(customer, request, pins, record_text)
--- a/src/carawayward/gateway/once.py
+++ b/src/carawayward/gateway/once.py
@@ -314,7 +314,7 @@
         """Hand a call to the right's holder; nobody else may run it."""
         name, incarnation = handover.follow_heirs(self.board.heirs, holder)
         try:
-            link = await self.hub.reach(name, self._find_timeout(call))
+            link = await self.hub.get_link(name, self._find_timeout(call))
         except errors.PeerUnavailable:
             return verdicts.make_lost("cannot be reached")
         if link.incarnation != incarnation:
--- a/src/carawayward/http_client.py
+++ b/src/carawayward/http_client.py
@@ -50,7 +50,7 @@
             self.on_connect()
 
 
-def write_now(stream: trio.SocketStream, data: bytes) -> int:
+def write_nonblocking(stream: trio.SocketStream, data: bytes) -> int:
     """Write what a connection takes at once; return how much that was.
 
     A write through trio costs two turns of the scheduler, though the
--- a/src/carawayward/http_server.py
+++ b/src/carawayward/http_server.py
@@ -38,7 +38,7 @@
 # the stop: closed at once, one of 34 runs in which all entry VMs are replaced
 # left a request without an answer. Callers are some ms away, and a busy
 # process reads within tens.
-LINGER_S = 0.1
+IDLE_GRACE_S = 0.1
 
 
 class Exchange(http_stream.HTTPStream):
@@ -295,7 +295,7 @@
         data = event.data
         if not self.send_lock.locked():
             if isinstance(self.stream, trio.SocketStream):
-                data = data[http.write_now(self.stream, data) :]
+                data = data[http.write_nonblocking(self.stream, data) :]
             if not data:
                 return
         async with self.send_lock:
@@ -356,7 +356,7 @@
                 connections.start_soon(handle, stream)
         await context.terminated.set()
         with trio.move_on_after(config.graceful_timeout):
-            await trio.sleep(LINGER_S)
+            await trio.sleep(IDLE_GRACE_S)
             while open_connections:
                 close_idle(open_connections, 0.0)
                 await trio.sleep(CLOSE_CHECK_S)
--- a/src/carawayward/log_output.py
+++ b/src/carawayward/log_output.py
@@ -21,7 +21,7 @@
 # Linux), so that no descriptor that others share has to be made non-blocking.
 WRITE_BYTES = 4_096
 # About one second of the busiest entry VM; 200 bytes a line, 0.4 MB.
-MOST_LINES = 2_000
+MAX_LINES = 2_000
 # Lines a second, in the long run and at once, of those that tell of normal
 # work; warnings and errors have as much of their own, so that a flood of the
 # one never hides the other.
@@ -71,7 +71,7 @@
         """Take one record; drop it if there is no room."""
         urgent = record.levelno >= logging.WARNING
         allowance = self.urgent if urgent else self.usual
-        full = len(self.lines) >= MOST_LINES
+        full = len(self.lines) >= MAX_LINES
         if full or not allowance.take(self.read_clock_s()):
             self.dropped += 1
             return
--- a/src/carawayward/metrics.py
+++ b/src/carawayward/metrics.py
@@ -99,7 +99,7 @@
     began_ms: float
     last_ms: float | None = None
 
-    def record_piece(self) -> None:
+    def record_chunk(self) -> None:
         """Note that a piece of the answer is on its way to the caller."""
         now_ms = self.metrics.clock.now_ms()
         if self.last_ms is None:
@@ -156,7 +156,7 @@
     metrics: Metrics
     address: str
     prefix: str
-    read_gauges: typing.Callable[[], dict[str, float]]
+    collect_gauges: typing.Callable[[], dict[str, float]]
     _sent: dict[str, float] = attrs.field(factory=dict)
     _client: statsd.StatsClient | None = None
 
@@ -190,7 +190,7 @@
                 if grown:
                     pipe.incr(name, grown)
                     self._sent[name] = total
-            for name, value in self.read_gauges().items():
+            for name, value in self.collect_gauges().items():
                 pipe.gauge(name, value)
             for row in summarize(self.metrics):
                 base = f"{row['metric']}.{row['customer']}.{row['class']}"
--- a/src/carawayward/naming.py
+++ b/src/carawayward/naming.py
@@ -3,7 +3,7 @@
 from carawayward import errors
 
 
-def check_names(field: str, names: list[str]) -> None:
+def check_unique_names(field: str, names: list[str]) -> None:
     """Check that names are given and unique."""
     seen: set[str] = set()
     for name in names:
@@ -16,7 +16,7 @@
         seen.add(name)
 
 
-def check_known(field: str, names: list[str], known: set[str]) -> None:
+def check_references(field: str, names: list[str], known: set[str]) -> None:
     """Check that references name something declared."""
     for name in names:
         if name not in known:
--- a/src/carawayward/peers/dialling.py
+++ b/src/carawayward/peers/dialling.py
@@ -78,7 +78,7 @@
             self.routes[given] = dialled
         self.dialling.pop(dialled).set()
 
-    def has_tried(self) -> bool:
+    def has_tried_seeds(self) -> bool:
         """Whether each seed is linked or has just failed to answer."""
         seeds = set(self.hub.settings.peers)
         seeds.discard(self.hub.settings.listen.peers)
--- a/src/carawayward/peers/hub.py
+++ b/src/carawayward/peers/hub.py
@@ -32,11 +32,11 @@
 # port can hold no more than these, and each for HANDSHAKE_S only.
 MAX_UNPROVEN = 32
 # A link that another one has replaced may still carry answers for a while.
-LINGER_S = 2.0
+REPLACED_LINK_GRACE_S = 2.0
 UNKNOWN_POLL_S = 0.05
 
 Handler = typing.Callable[[str, typing.Any], typing.Awaitable[typing.Any]]
-Greeter = typing.Callable[[str], typing.Awaitable[None]]
+LinkCallback = typing.Callable[[str], typing.Awaitable[None]]
 
 
 @attrs.define(eq=False)
@@ -57,7 +57,7 @@
     _unproven: int = 0
     _nursery: trio.Nursery | None = None
     _dialler: dialling.Dialler = attrs.field(init=False)
-    _greeters: list[Greeter] = attrs.field(factory=list)
+    _link_callbacks: list[LinkCallback] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
         self._dialler = dialling.Dialler(self, self.choose_peers)
@@ -66,9 +66,9 @@
         """Register what answers messages of ``kind``."""
         self.handlers[kind] = handler
 
-    def greet_with(self, greeter: Greeter) -> None:
+    def add_link_callback(self, greeter: LinkCallback) -> None:
         """Register what is called with the name of each new link's peer."""
-        self._greeters.append(greeter)
+        self._link_callbacks.append(greeter)
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Listen for peers, and keep links to those that are chosen."""
@@ -108,11 +108,11 @@
         began_ms = self.clock.now_ms()
         link = self.links.get(peer)
         if link is None:
-            link = await self.reach(peer, timeout_ms)
+            link = await self.get_link(peer, timeout_ms)
         spent_ms = self.clock.now_ms() - began_ms
         return await link.call(kind, body, max(timeout_ms - spent_ms, 1.0))
 
-    async def reach(
+    async def get_link(
         self, peer: str, timeout_ms: float = DIAL_TIMEOUT_MS
     ) -> link_module.Link:
         """The link to a named peer, made now if there is none.
@@ -134,15 +134,15 @@
             raise errors.PeerUnavailable(f"peer {peer}: no link")
         return link
 
-    def has_tried(self) -> bool:
+    def has_tried_seeds(self) -> bool:
         """Whether each seed is linked or has just failed to answer."""
-        return self._dialler.has_tried()
+        return self._dialler.has_tried_seeds()
 
-    def choose_linked(self) -> frozenset[str]:
+    def choose_link_targets(self) -> frozenset[str]:
         """Names of the peers that this entry VM keeps links to."""
         return self._dialler.choose()
 
-    async def tell(self, peer: str, kind: str, body: object) -> None:
+    async def notify(self, peer: str, kind: str, body: object) -> None:
         """Send a message that wants no answer; a lost one is not noticed."""
         link = self.links.get(peer)
         if link is not None:
@@ -151,10 +151,10 @@
             except errors.PeerUnavailable:
                 return
 
-    async def tell_all(self, kind: str, body: object) -> None:
+    async def notify_all(self, kind: str, body: object) -> None:
         """Send a message to every linked peer."""
         for peer in list(self.links):
-            await self.tell(peer, kind, body)
+            await self.notify(peer, kind, body)
 
     async def _accept(self, socket: ws_server.ServerConnection) -> None:
         if self._unproven >= MAX_UNPROVEN:
@@ -256,7 +256,7 @@
             self._nursery.start_soon(linger, older)
         self._record_linked(identity)
         events.log_event(events.Event.PEER_UP, peer=link.peer)
-        for greet in self._greeters:
+        for greet in self._link_callbacks:
             await greet(link.peer)
         await link.run(self._serve)
 
@@ -296,7 +296,7 @@
 
 async def linger(link: link_module.Link) -> None:
     """Close a replaced link once its last answers have had time to come."""
-    await trio.sleep(LINGER_S)
+    await trio.sleep(REPLACED_LINK_GRACE_S)
     link.close()
 
 
--- a/src/carawayward/peers/link.py
+++ b/src/carawayward/peers/link.py
@@ -14,15 +14,15 @@
 from carawayward.protocol import handshake
 from carawayward import supervision
 
-# Each side sends a heartbeat, so that a link which carries nothing else
-# still shows that it works. A link that has brought nothing for SILENCE_S
-# is closed and made anew: an open connection may have gone silent for good
-# while new ones work. Three heartbeats may be late before that, since a
-# busy entry VM is not a silent one. The WebSocket's own ping would not do:
-# it waits for room to write before its timeout begins, and a silent
-# connection is one that takes no data.
-HEARTBEAT_S = 2.0
-SILENCE_S = 7.0
+# Each side sends heartbeats so that an otherwise idle link shows that it
+# works. A link on which nothing has arrived for SILENCE_TIMEOUT_S is closed
+# and replaced: an established connection can go silent for good while new
+# ones work. The timeout leaves room for three late heartbeats, since a busy
+# entry VM is not a silent one. WebSocket pings do not help here: a ping
+# waits for room to write before its timeout starts, and a silent connection
+# is one that accepts no data.
+HEARTBEAT_INTERVAL_S = 2.0
+SILENCE_TIMEOUT_S = 7.0
 HEARTBEAT = "link.alive"
 # Messages that wait to be written. A peer that reads too slowly for this
 # loses messages, which all of them can bear: calls time out, and what is
@@ -141,10 +141,10 @@
                 await self.socket.send(messages.encode(message))
 
     async def _beat(self) -> None:
-        while trio.current_time() - self.heard < SILENCE_S:
+        while trio.current_time() - self.heard < SILENCE_TIMEOUT_S:
             with contextlib.suppress(errors.PeerUnavailable):
                 self.send(messages.Message(HEARTBEAT, None))
-            await trio.sleep(HEARTBEAT_S)
+            await trio.sleep(HEARTBEAT_INTERVAL_S)
         events.log_event(events.Event.PEER_SILENT, peer=self.peer)
         self.close()
 
--- a/src/carawayward/rollout_declaration.py
+++ b/src/carawayward/rollout_declaration.py
@@ -77,13 +77,15 @@
     states: typing.Mapping[str, typing.Mapping[str, str]],
 ) -> None:
     """Check all roll-outs; ``states`` are those of versions, by model."""
-    naming.check_names("rollouts", [rollout.name for rollout in rollouts])
+    naming.check_unique_names(
+        "rollouts", [rollout.name for rollout in rollouts]
+    )
     for rollout in rollouts:
         check_rollout(rollout, states)
-    check_rolled_once(rollouts)
+    check_one_rollout_per_model(rollouts)
 
 
-def check_rolled_once(rollouts: list[Rollout]) -> None:
+def check_one_rollout_per_model(rollouts: list[Rollout]) -> None:
     """Check that no model is rolled out twice at once."""
     for field in ("model", "to_version"):
         seen: set[str] = set()
@@ -103,14 +105,14 @@
 ) -> None:
     """Check one roll-out against the model that it names."""
     prefix = f"rollouts.{rollout.name}"
-    naming.check_known(f"{prefix}.model", [rollout.model], set(states))
+    naming.check_references(f"{prefix}.model", [rollout.model], set(states))
     versions = states[rollout.model]
     for field in ("from_version", "to_version"):
-        naming.check_known(
+        naming.check_references(
             f"{prefix}.{field}", [getattr(rollout, field)], set(versions)
         )
     if rollout.baseline:
-        naming.check_known(
+        naming.check_references(
             f"{prefix}.baseline", [rollout.baseline], set(versions)
         )
     if rollout.from_version == rollout.to_version:
@@ -179,7 +181,7 @@
 def check_pool(pool: Pool, versions: set[str]) -> None:
     """Check one pool of engines."""
     prefix = f"pools.{pool.name}"
-    naming.check_known(f"{prefix}.versions", pool.versions, versions)
+    naming.check_references(f"{prefix}.versions", pool.versions, versions)
     if not 0 < pool.change_at_once <= 0.5:
         raise errors.DeclarationError(
             f"{prefix}.change_at_once",
--- a/src/carawayward/status.py
+++ b/src/carawayward/status.py
@@ -24,7 +24,7 @@
     metrics: metrics_module.Metrics
     clock: clock_module.Clock
     keys: tuple[str, ...]
-    read_gauges: typing.Callable[[], dict[str, float]]
+    collect_gauges: typing.Callable[[], dict[str, float]]
 
     def make_routes(self) -> list[routing.Route]:
         """Routes for the operators' listener."""
@@ -42,7 +42,7 @@
             {
                 **describe_board(self.board, self.clock.now_ms()),
                 "counters": self.metrics.counters,
-                "gauges": self.read_gauges(),
+                "gauges": self.collect_gauges(),
             }
         )
 
--- a/src/carawayward/stopping.py
+++ b/src/carawayward/stopping.py
@@ -14,11 +14,11 @@
 from carawayward import supervision
 
 POLL_MS = 20.0
-CUT_EXIT = 1
-CUT_EXIT_S = 2.0
+CUT_EXIT_CODE = 1
+FORCED_EXIT_DELAY_S = 2.0
 
 
-class Closing(typing.Protocol):
+class Closable(typing.Protocol):
     """What is closed at the end of a stop."""
 
     async def close(self) -> None:
@@ -35,7 +35,7 @@
     settings: settings_module.Settings
     board: blackboard_module.Blackboard
     clock: clock_module.Clock
-    controllers: typing.Sequence[Closing]
+    controllers: typing.Sequence[Closable]
     count_open: typing.Callable[[], int]
     stop_serving: trio.Event = attrs.field(factory=trio.Event)
     stage: str = "not begun"
@@ -102,12 +102,12 @@
         self.stage = "left"
 
 
-def exit_soon() -> None:
+def force_exit_later() -> None:
     """End the process if a stop that was cut short does not end by itself.
 
     The HTTP library shields its writes from cancellation, so that one
     caller who takes no data could hold the process until TCP gives up.
     """
-    timer = threading.Timer(CUT_EXIT_S, os._exit, (CUT_EXIT,))
+    timer = threading.Timer(FORCED_EXIT_DELAY_S, os._exit, (CUT_EXIT_CODE,))
     timer.daemon = True
     timer.start()
--- a/src/carawayward/supervision.py
+++ b/src/carawayward/supervision.py
@@ -34,7 +34,7 @@
         name: object = None,
     ) -> None:
         """Start a task."""
-        contain = keep_running if self.restarting else run_once
+        contain = run_with_restarts if self.restarting else run_once
         self.nursery.start_soon(
             contain, function, arguments, name=name or function
         )
@@ -58,7 +58,7 @@
         return self.nursery.cancel_scope
 
 
-async def keep_running(function: Task, arguments: tuple) -> None:
+async def run_with_restarts(function: Task, arguments: tuple) -> None:
     """Run a task, and again whenever it meets a fault."""
     while not await run_once(function, arguments):
         await trio.sleep(RESTART_DELAY_S)
--- a/tests/common/loopback.py
+++ b/tests/common/loopback.py
@@ -15,7 +15,7 @@
 _PORTS: list[typing.Iterator[int]] = []
 
 
-def take_port_block() -> typing.Iterator[int]:
+def acquire_port_block() -> typing.Iterator[int]:
     """Ports that this process alone may give away, in turn for ever.
 
     Ports of the kernel's own range are taken by any outgoing connection
@@ -50,7 +50,7 @@
 def find_free_ports(count: int) -> list[int]:
     """Ports that nothing listens on just now."""
     if not _PORTS:
-        _PORTS.append(take_port_block())
+        _PORTS.append(acquire_port_block())
     found: list[int] = []
     for port in itertools.islice(_PORTS[0], 2 * PORT_BLOCK):
         if len(found) == count:
--- a/tests/common/platform_fakes.py
+++ b/tests/common/platform_fakes.py
@@ -104,6 +104,6 @@
         """Register what takes messages of a kind."""
         self.handlers[kind] = handler
 
-    async def tell_all(self, kind: str, body: typing.Any) -> None:
+    async def notify_all(self, kind: str, body: typing.Any) -> None:
         """Queue a message to each linked peer."""
         self.queue += [(self.name, peer, kind, body) for peer in self.peers]
--- a/tests/common/quality_rig.py
+++ b/tests/common/quality_rig.py
@@ -172,7 +172,7 @@
         node.ratings.forget()
         rows = node.ratings.choose_rows()
         if rows:
-            await node.hub.tell_all("evidence", rows)
+            await node.hub.notify_all("evidence", rows)
         controller = node.rollouts
         reachable = node.name not in self.cut_from_log
         try:
--- a/tests/cover/test_console.py
+++ b/tests/cover/test_console.py
@@ -91,7 +91,7 @@
     mine, theirs = copy.deepcopy(base), copy.deepcopy(base)
     mine["customers"][1]["weight"] = 9.0
     theirs = comparison.withdraw(theirs, "sorter-4")
-    merged = comparison.take_over(base, mine, theirs)
+    merged = comparison.merge_changes(base, mine, theirs)
     assert merged.clashes == []
     assert merged.document["customers"][1]["weight"] == 9.0
     states = [v["state"] for v in merged.document["models"][0]["versions"]]
@@ -105,7 +105,7 @@
     mine, theirs = copy.deepcopy(base), copy.deepcopy(base)
     mine["customers"][1]["weight"] = 9.0
     theirs["customers"][1]["weight"] = 2.0
-    merged = comparison.take_over(base, mine, theirs)
+    merged = comparison.merge_changes(base, mine, theirs)
     assert merged.clashes == ["customers.yaba-schools.weight"]
     assert merged.document["customers"][1]["weight"] == 9.0
 
@@ -129,7 +129,7 @@
         return document
 
     first, second = apply(mine), apply(theirs)
-    merged = comparison.take_over(base, first, second).document
+    merged = comparison.merge_changes(base, first, second).document
     for place in range(10):
         weights = [
             each["customers"][place]["weight"]
--- a/tests/cover/test_log_output.py
+++ b/tests/cover/test_log_output.py
@@ -52,7 +52,7 @@
     for _ in range(5):
         reader.now_s += 10.0
         emit(handler, 900)
-    assert len(handler.lines) == log_output.MOST_LINES
+    assert len(handler.lines) == log_output.MAX_LINES
     reader.ready = True
     handler.flush()
     first = json.loads(reader.taken.splitlines()[0])
--- a/tests/cover/test_metrics.py
+++ b/tests/cover/test_metrics.py
@@ -25,7 +25,7 @@
     watch = measured.watch("ikeja-families", "hard-match")
     for wait_ms in (300, 10, 10):
         manual.advance(wait_ms)
-        watch.record_piece()
+        watch.record_chunk()
     watch.record_end("answered", "matchmaker-2", 0.5)
     assert 295 <= find_row(measured, "first_token")["p50"] <= 305
     assert find_row(measured, "between_tokens")["count"] == 2
--- a/tests/failures/test_listener_stop.py
+++ b/tests/failures/test_listener_stop.py
@@ -108,9 +108,9 @@
 
     async def scenario(host: str, port: int, stop: trio.Event) -> None:
         callers = await open_callers(host, port)
-        await trio.sleep(2 * http_server.LINGER_S)
+        await trio.sleep(2 * http_server.IDLE_GRACE_S)
         stop.set()
-        with trio.fail_after(http_server.LINGER_S + 0.5):
+        with trio.fail_after(http_server.IDLE_GRACE_S + 0.5):
             for caller in callers:
                 assert await read_status(caller) == b""
 
--- a/tests/failures/test_path_peers.py
+++ b/tests/failures/test_path_peers.py
@@ -186,7 +186,9 @@
         wire.silence()
         # Several times what an idle machine needs; the tight bound is the
         # link's own business and no verdict for a busy machine.
-        bound_s = 4 * (link_module.SILENCE_S + link_module.HEARTBEAT_S)
+        bound_s = 4 * (
+            link_module.SILENCE_TIMEOUT_S + link_module.HEARTBEAT_INTERVAL_S
+        )
         await peering.wait_until(
             lambda: first[0].closed and first[1].closed, bound_s
         )
@@ -278,7 +280,9 @@
             return all(len(hub.board.entry_vms) == 15 for hub in hubs)
 
         def all_are_linked() -> bool:
-            return all(hub.links.keys() >= hub.choose_linked() for hub in hubs)
+            return all(
+                hub.links.keys() >= hub.choose_link_targets() for hub in hubs
+            )
 
         await peering.wait_until(all_are_known, 50)
         await peering.wait_until(all_are_linked, 30)
