--- a/src/carawayward/clock.py
+++ b/src/carawayward/clock.py
@@ -1,4 +1,4 @@
-"""One clock type; every time in this project is in milliseconds."""
+"""Clocks; times in this project are in milliseconds unless named ``_s``."""
 
 import time
 
@@ -10,20 +10,20 @@
 class Clock:
     """The machine's clocks.
 
-    ``now_ms`` never steps back and is for measuring and for deadlines;
-    ``wall_ms`` is shared between machines, up to their clock skew, and is
-    only for what other machines have to judge.
+    ``now_ms`` is monotonic: use it to measure durations and for deadlines.
+    ``wall_ms`` is comparable between machines, up to their clock skew: use
+    it only for times that other machines have to evaluate.
     """
 
     def now_ms(self) -> float:
-        """Milliseconds on a monotonic clock with no meaning elsewhere."""
+        """Milliseconds on a monotonic clock, valid on this machine only."""
         return time.monotonic() * 1000.0
 
     def boot_ms(self) -> float:
-        """Milliseconds on a monotonic clock that counts suspension.
+        """Milliseconds on a monotonic clock that includes suspension.
 
-        Leases are measured on it: ``now_ms`` stands still while a machine
-        is suspended, so that a lease would outlive its bound.
+        Leases are measured on it: ``now_ms`` does not advance while the
+        machine is suspended, so a lease would outlive its bound.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
@@ -38,7 +38,7 @@
 
 @attrs.define
 class ManualClock:
-    """A clock that moves only when told to, for tests and rigs."""
+    """A clock that is advanced explicitly, for tests and benchmarks."""
 
     now: float = 0.0
     wall_offset: int = 1_700_000_000_000
--- a/src/carawayward/commands/inspect.py
+++ b/src/carawayward/commands/inspect.py
@@ -108,7 +108,7 @@
     for each in metrics.Metric:
         if each.label == metric:
             return hdr.HdrHistogram(
-                1, each.highest, metrics.SIGNIFICANT_DIGITS
+                1, each.max_value, metrics.SIGNIFICANT_DIGITS
             )
     names = ", ".join(each.label for each in metrics.Metric)
     raise errors.BadRequest("metric", metric, f"name one of: {names}")
--- a/src/carawayward/comparison.py
+++ b/src/carawayward/comparison.py
@@ -1,7 +1,7 @@
-"""Differences between documents, and changes taken over onto another.
+"""Differences between documents, and three-way merges of them.
 
-Lists of things with names are compared by name, so that a new customer in
-the middle is one addition and not a change of all that follow.
+Lists of named items are compared by name, so that a new customer in the
+middle of a list is one addition and not a change of all that follow.
 """
 
 import copy
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Change:
-    """One place where two documents differ; None stands for absent."""
+    """One difference between two documents; None means absent."""
 
     path: str
     before: Plain
@@ -25,17 +25,17 @@
 
     @property
     def kind(self) -> str:
-        """What happened: added, removed or changed."""
+        """The kind of change: added, removed or changed."""
         if self.before is ABSENT:
             return "added"
         return "removed" if self.after is ABSENT else "changed"
 
 
 def list_changes(before: Plain, after: Plain, path: str = "") -> list[Change]:
-    """Every difference, from the first document's view to the second's."""
+    """List all changes that lead from ``before`` to ``after``."""
     if before == after:
         return []
-    left, right = _index(before), _index(after)
+    left, right = _as_mapping(before), _as_mapping(after)
     if left is None or right is None:
         return [Change(path or "(document)", before, after)]
     changes = []
@@ -50,8 +50,8 @@
     return changes
 
 
-def _index(value: Plain) -> dict[str, Plain] | None:
-    """A mapping, or a list of named things as one; else None."""
+def _as_mapping(value: Plain) -> dict[str, Plain] | None:
+    """Return a mapping, or a list of named items as one; else None."""
     if isinstance(value, dict):
         return {str(key): each for key, each in value.items()}
     if isinstance(value, list) and value:
@@ -63,10 +63,10 @@
 
 @attrs.frozen
 class Merged:
-    """A document with both operators' changes.
+    """The result of a three-way merge.
 
-    ``clashes`` are places that both changed in different ways; there the
-    document has what the second operator wrote, to be looked at.
+    ``clashes`` are the paths that both sides changed in different ways; at
+    these paths the document has the value of ``mine``, for review.
     """
 
     document: Plain
@@ -74,7 +74,7 @@
 
 
 def merge_changes(base: Plain, mine: Plain, theirs: Plain) -> Merged:
-    """Apply what turned ``base`` into ``mine`` to ``theirs``."""
+    """Apply the changes from ``base`` to ``mine`` onto ``theirs``."""
     clashes: list[str] = []
     document = _merge(base, mine, theirs, "", clashes)
     return Merged(document, clashes)
@@ -87,7 +87,7 @@
         return copy.deepcopy(theirs)
     if theirs == base:
         return copy.deepcopy(mine)
-    parts = [_index(each) for each in (base, mine, theirs)]
+    parts = [_as_mapping(each) for each in (base, mine, theirs)]
     if any(part is None for part in parts[1:]):
         clashes.append(path)
         return copy.deepcopy(mine)
@@ -104,7 +104,7 @@
 
 
 def withdraw(document: Plain, version: str) -> Plain:
-    """The same document with a version withdrawn and its roll-out ended."""
+    """Return a copy with a version withdrawn and its roll-outs removed."""
     changed = copy.deepcopy(document)
     found = [
         each
@@ -127,7 +127,7 @@
 
 
 def show_changes(changes: list[Change]) -> str:
-    """Changes as lines of text, for a terminal."""
+    """Format changes as lines of text for a terminal."""
     signs = {"added": "+", "removed": "-", "changed": "~"}
     lines = []
     for change in changes:
--- a/src/carawayward/daemon.py
+++ b/src/carawayward/daemon.py
@@ -1,4 +1,4 @@
-"""carawaywardd: the one daemon, the same on every entry VM."""
+"""carawaywardd, the daemon that runs on every entry VM."""
 
 import gc
 import signal
@@ -46,20 +46,20 @@
 from carawayward import stopping
 from carawayward import supervision
 
-POLL_MS = 20.0
-# What is left when the listeners close are connections without a request.
-LISTENERS_CLOSE_S = 0.5
-SURVEY_WAIT_MS = 5_000.0
+POLL_INTERVAL_MS = 20.0
+# By the time the listeners close, the connections left carry no request.
+LISTENERS_CLOSE_TIMEOUT_S = 0.5
+READY_WAIT_LIMIT_MS = 5_000.0
 
 
 class Controller(typing.Protocol):
-    """What the daemon starts and closes."""
+    """A component that the daemon starts and closes."""
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin the controller's tasks."""
+        """Start the controller's tasks."""
 
     async def close(self) -> None:
-        """Finish what must not be lost."""
+        """Complete or hand over work that must not be lost."""
 
 
 @attrs.define
@@ -78,7 +78,7 @@
 
     @classmethod
     def from_config(cls, settings: settings_module.Settings) -> "Daemon":
-        """Put the parts together; nothing runs yet."""
+        """Create all components; nothing runs yet."""
         clock = clock_module.Clock()
         board = blackboard_module.Blackboard(
             name=settings.name,
@@ -178,7 +178,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until a signal asks for a planned stop."""
+        """Serve until a signal requests a planned stop."""
         events.log_event(
             events.Event.NODE_STARTED,
             node=self.board.name,
@@ -202,8 +202,9 @@
                         typing.cast(trio.Nursery, supervisor)
                     )
                 supervisor.restarting = False
-                # What stands now stays: leaving it out of full collections
-                # takes milliseconds off the slowest requests.
+                # The objects that exist now live as long as the process.
+                # Excluding them from full collections takes milliseconds
+                # off the slowest requests.
                 gc.collect()
                 gc.freeze()
                 async with trio.open_nursery() as serving:
@@ -214,7 +215,7 @@
                     if stop.cut:
                         stopping.force_exit_later()
                     serving.cancel_scope.deadline = (
-                        trio.current_time() + LISTENERS_CLOSE_S
+                        trio.current_time() + LISTENERS_CLOSE_TIMEOUT_S
                     )
                 nursery.cancel_scope.cancel()
         for client in self.clients:
@@ -232,10 +233,10 @@
         callers_app: typing.Any,
         stop_serving: trio.Event,
     ) -> None:
-        """Serve callers and operators until ``stop_serving``."""
+        """Serve callers and operators until ``stop_serving`` is set."""
         listen, tls = self.settings.listen, self.settings.tls
         limits, stop = self.settings.limits, self.settings.stop
-        for app, address, pair in (
+        for app, address, listener_tls in (
             (callers_app, listen.callers, tls.callers),
             (
                 border.Border(
@@ -245,23 +246,24 @@
                 tls.operators,
             ),
         ):
-            # By the time it is told to stop nothing runs any more, unless
-            # the stop was cut short; so this bound cuts off no stream.
+            # When ``stop_serving`` is set no request is running, unless the
+            # stop was cut short, so this timeout interrupts no stream.
             config = listening.make_config(
-                address, limits, pair, graceful_ms=stop.deadline_ms
+                address, limits, listener_tls, graceful_ms=stop.deadline_ms
             )
             nursery.start_soon(http_server.serve, app, config, stop_serving)
 
     async def _become_ready(self) -> None:
         while self.board.config is None:
-            await self.clock.sleep(POLL_MS)
-        # The balancer sends work as soon as it sees readiness: before the
-        # endpoints are known, all of it would be refused, and before the
-        # peers are linked, what they hold cannot be asked for. The wait
-        # ends, since a refusal with a reason is better than a VM that hangs.
-        with trio.move_on_after(SURVEY_WAIT_MS / 1000):
+            await self.clock.sleep(POLL_INTERVAL_MS)
+        # The load balancer sends requests as soon as this VM reports ready.
+        # Before the endpoints are known, all of them would be refused;
+        # before the peers are linked, state that they hold cannot be
+        # queried. The wait is bounded, since refusing requests with a
+        # reason is better than never becoming ready.
+        with trio.move_on_after(READY_WAIT_LIMIT_MS / 1000):
             while not (self.board.surveyed and self.hub.has_tried_seeds()):
-                await self.clock.sleep(POLL_MS)
+                await self.clock.sleep(POLL_INTERVAL_MS)
         if self.board.state is blackboard_module.NodeState.STARTING:
             self.board.state = blackboard_module.NodeState.READY
             events.log_event(
@@ -272,7 +274,7 @@
 def build_operators_app(
     pages: status.StatusPages, console: console_pages.Console
 ) -> applications.Starlette:
-    """Make the application behind the operators' listener."""
+    """Build the application behind the operators' listener."""
     return applications.Starlette(
         routes=[*pages.make_routes(), *console.make_routes()],
         exception_handlers={
@@ -285,7 +287,7 @@
 def collect_gauges(
     board: blackboard_module.Blackboard, bills: billing.BillingController
 ) -> dict[str, float]:
-    """Figures that rise and fall."""
+    """Collect the current values of the gauges."""
     return {
         "running": board.running,
         "bills_waiting": len(bills.waiting),
--- a/src/carawayward/declaration.py
+++ b/src/carawayward/declaration.py
@@ -1,4 +1,7 @@
-"""The published document: what operators want, validated as a whole."""
+"""The declaration: the desired state that operators publish as one document.
+
+It is validated as a whole.
+"""
 
 import enum
 import hashlib
@@ -24,10 +27,10 @@
 
 
 class VersionState(enum.StrEnum):
-    """What a version may take.
+    """Which requests a version may serve.
 
-    ``active`` takes all work, ``canary`` only what its roll-out gives it,
-    ``draining`` only sessions that it already has, ``withdrawn`` nothing.
+    ``active`` serves all requests, ``canary`` those that its roll-out
+    assigns to it, ``draining`` its existing sessions, ``withdrawn`` none.
     """
 
     ACTIVE = "active"
@@ -37,7 +40,7 @@
 
 
 class CutOff(enum.StrEnum):
-    """What a version does on an entry VM that is cut off."""
+    """What a version serves on an entry VM that is cut off."""
 
     DEFAULT = "default"
     SERVE = "serve"
@@ -49,8 +52,7 @@
 class Version:
     """A version of a model.
 
-    ``cost`` is the price of 1,000 generated tokens, in the currency of the
-    users' choice.
+    ``cost`` is the price of 1,000 generated tokens, in any one currency.
     """
 
     name: str
@@ -61,7 +63,7 @@
 
 @attrs.frozen(kw_only=True)
 class Model:
-    """A model; the first active version is its current one."""
+    """A model; its first active version is the current one."""
 
     name: str
     versions: list[Version]
@@ -69,18 +71,19 @@
 
 @attrs.frozen(kw_only=True)
 class Check:
-    """When a cheap answer is good enough to skip the strong model."""
+    """The confidence above which a cheap answer needs no stronger model."""
 
     confidence: float
 
 
 @attrs.frozen(kw_only=True)
 class Task:
-    """A kind of request and the cascade of models that may answer it.
+    """A type of request and the cascade of models that may answer it.
 
     ``cascade`` lists models from cheap to strong; ``target`` is the share
-    of answers that must meet the quality standard. ``rated_share`` of the
-    answers go to the ratings service; those of an unproven version all do.
+    of answers that must meet the quality standard. ``rated_share`` is the
+    share of answers sent to the ratings service; for a version that is
+    being rolled out, all answers are sent.
     """
 
     name: str
@@ -93,7 +96,7 @@
 
 @attrs.frozen(kw_only=True)
 class Operation:
-    """One call of a plain service."""
+    """One operation of a plain service."""
 
     name: str
     repeatable: bool = True
@@ -101,7 +104,7 @@
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """A plain service; its endpoints are those of the pool it names."""
+    """A plain service, served by the endpoints of ``pool``."""
 
     name: str
     pool: str
@@ -110,9 +113,9 @@
 
 @attrs.frozen(kw_only=True)
 class Customer:
-    """Who may call, with what, and how much weight in the queues.
+    """A customer: its keys, what it may use and its weight in the queues.
 
-    ``key_digests`` are SHA-256 digests, in hex, of the customer's keys.
+    ``key_digests`` are the SHA-256 digests of the keys, in hex.
     """
 
     name: str
@@ -125,7 +128,7 @@
 
 @attrs.frozen(kw_only=True)
 class Declaration:
-    """The whole document in force."""
+    """The whole document."""
 
     format: int
     models: list[Model]
@@ -151,23 +154,23 @@
 
 
 def unstructure(declaration: Declaration) -> dict[str, typing.Any]:
-    """Return the document as plain maps and lists."""
+    """Convert the document to plain mappings and lists."""
     return documents.unstructure(declaration)
 
 
 def digest_document(document: object) -> str:
-    """SHA-256 of the canonical JSON form, in hex."""
+    """Return the SHA-256 of the canonical JSON form, in hex."""
     canonical = json.dumps(document, sort_keys=True, separators=(",", ":"))
     return hashlib.sha256(canonical.encode()).hexdigest()
 
 
 def digest_key(key: str) -> str:
-    """The form in which a customer's key stands in the declaration."""
+    """Return a customer's key as the declaration stores it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def check_declaration(declaration: Declaration) -> None:
-    """Check what has to agree between parts of the document."""
+    """Check the document, including references between its parts."""
     if declaration.format != FORMAT:
         raise errors.DeclarationError(
             "format", declaration.format, f"write {FORMAT}"
@@ -209,7 +212,7 @@
 
 
 def check_versions(models: list[Model]) -> None:
-    """Check that version names are unique over all models."""
+    """Check that version names are unique across all models."""
     names = [version.name for model in models for version in model.versions]
     naming.check_unique_names("models.versions", names)
     for model in models:
--- a/src/carawayward/documents.py
+++ b/src/carawayward/documents.py
@@ -1,7 +1,7 @@
-"""Checked YAML documents: attrs classes in, errors that name the field out.
+"""Parses YAML into attrs classes; errors name the invalid field.
 
-Used for a node's settings and for the published declaration, so that both
-refuse unknown keys and wrong types in the same words.
+Used for the settings of an entry VM and for the declaration, so that both
+report unknown keys and wrong types in the same way.
 """
 
 import enum
@@ -17,13 +17,13 @@
 
 ErrorKind = typing.Callable[[str, object, str], Exception]
 
-# A document deeper or larger than this is a mistake or an attack, and
-# parsing it would hold up everything else on the single thread.
+# A larger document is a mistake or an attack, and parsing it would block all
+# other work on the only thread.
 MAX_DOCUMENT_BYTES = 1_000_000
 
 
 class WrongType(ValueError):
-    """A value of another type than its field's."""
+    """A value whose type does not match its field."""
 
     def __init__(self, found: object, wanted: str) -> None:
         super().__init__(f"write {wanted}")
@@ -32,7 +32,7 @@
 
 def _check_scalar(kind: type, name: str) -> typing.Callable:
     def check(value: object, target: type) -> object:
-        # The hook for str is also found for its subclasses, the enums.
+        # cattrs also calls the hook for str for its subclasses, the enums.
         if _is_enum(target):
             return _structure_enum(value, target)
         if kind is float and type(value) is int:
@@ -79,19 +79,19 @@
 def structure(kind: type[T], data: object, error: ErrorKind) -> T:
     """Build ``kind`` from parsed YAML.
 
-    Raises ``error`` for the first field at fault.
+    Raises ``error`` for the first invalid field.
     """
     if not isinstance(data, dict):
         raise error("(document)", data, "write a mapping of fields")
     try:
         return _CONVERTER.structure(data, kind)
     except cattrs_errors.BaseValidationError as group:
-        path, cause = _find_first(group, "")
+        path, cause = _find_first_error(group, "")
         raise error(path, *_explain(cause)) from None
 
 
 def unstructure(value: object) -> typing.Any:
-    """Return plain maps and lists, ready for YAML, JSON or CBOR."""
+    """Convert to plain mappings and lists for YAML, JSON or CBOR."""
     return _CONVERTER.unstructure(value)
 
 
@@ -110,7 +110,9 @@
         raise error("(document)", first_line, "write valid YAML") from None
 
 
-def _find_first(fault: BaseException, path: str) -> tuple[str, BaseException]:
+def _find_first_error(
+    fault: BaseException, path: str
+) -> tuple[str, BaseException]:
     if not isinstance(fault, cattrs_errors.BaseValidationError):
         return path or "(document)", fault
     first = fault.exceptions[0]
@@ -119,7 +121,7 @@
             path = f"{path}.{note.name}" if path else note.name
         elif isinstance(note, cattrs_errors.IterableValidationNote):
             path = f"{path}[{note.index}]"
-    return _find_first(first, path)
+    return _find_first_error(first, path)
 
 
 def _explain(cause: BaseException) -> tuple[object, str]:
--- a/src/carawayward/errors.py
+++ b/src/carawayward/errors.py
@@ -1,15 +1,15 @@
-"""Every error that a user of this project can act on.
+"""Errors that callers, operators and other modules can act on.
 
-Each message says what was given, what was expected and what to do.
+Each message says what was found and what to do about it.
 """
 
 
 class CarawaywardError(Exception):
-    """Base of all errors of this project."""
+    """Base class of all errors of this project."""
 
 
 class SettingsError(CarawaywardError):
-    """A node's settings are not usable."""
+    """The settings of an entry VM are invalid."""
 
     def __init__(self, field: str, found: object, remedy: str) -> None:
         super().__init__(f"settings: {field}: found {found!r}; {remedy}")
@@ -18,7 +18,7 @@
 
 
 class DeclarationError(CarawaywardError):
-    """A declaration cannot be put into force."""
+    """A declaration is invalid."""
 
     def __init__(self, field: str, found: object, remedy: str) -> None:
         super().__init__(f"declaration: {field}: found {found!r}; {remedy}")
@@ -39,7 +39,7 @@
 
 
 class NotAuthenticated(CarawaywardError):
-    """A caller, peer or operator did not prove who it is."""
+    """A caller, peer or operator could not be authenticated."""
 
 
 class InvalidToken(CarawaywardError):
@@ -47,9 +47,9 @@
 
 
 class PlatformUnavailable(CarawaywardError):
-    """A platform service gave no usable answer.
+    """A platform service gave no usable response.
 
-    ``sent`` is False only when no byte of the request can have left this
+    ``sent`` is False only if no byte of the request can have left this
     machine; an append with ``sent`` True may have taken effect.
     """
 
@@ -61,8 +61,9 @@
         retry_after_ms: int | None = None,
     ) -> None:
         super().__init__(
-            f"{service}: {detail}; it is tried again, and what depends on it "
-            "is refused or served from what is known until it answers"
+            f"{service}: {detail}; the call is retried, and until the service "
+            "answers, requests that need it are refused or served from "
+            "cached state"
         )
         self.service = service
         self.sent = sent
@@ -70,11 +71,11 @@
 
 
 class EndpointError(CarawaywardError):
-    """A call of an endpoint failed.
+    """A call to an endpoint failed.
 
-    ``sent`` is False only when no byte of the call can have left this
-    machine, which is what a refusal that says "not run" rests on.
-    ``status`` is set when the endpoint answered with an HTTP status.
+    ``sent`` is False only if no byte of the call can have left this
+    machine; only then may the request be refused as "not run".
+    ``status`` is the HTTP status, if the endpoint answered with one.
     """
 
     def __init__(
@@ -93,7 +94,7 @@
 
 
 class PeerUnavailable(CarawaywardError):
-    """A peer could not be reached, or did not answer in time."""
+    """A peer could not be reached or did not answer in time."""
 
 
 class PublishConflict(CarawaywardError):
@@ -101,7 +102,7 @@
 
     def __init__(self, base_revision: int, in_force: int) -> None:
         super().__init__(
-            f"the document was drawn from revision {base_revision}, but "
+            f"the document is based on revision {base_revision}, but "
             f"revision {in_force} is in force; compare it with that one and "
             "publish again"
         )
@@ -110,34 +111,34 @@
 
 
 class Unwell(CarawaywardError):
-    """The doctor found something that needs a hand; the text says what."""
+    """The doctor found a problem that an operator has to fix."""
 
 
 class PublishUnknown(CarawaywardError):
-    """It cannot be found out whether a publish took effect."""
+    """Whether a publish took effect could not be determined."""
 
     def __init__(self, publish_id: str, read_to: int) -> None:
         super().__init__(
-            f"the log took or lost publish {publish_id}, and reading on from "
-            f"offset {read_to} gave no answer; run carawaywardctl show before "
-            "you publish again"
+            f"it is not known whether the log accepted publish {publish_id}: "
+            f"reading on from offset {read_to} failed; run carawaywardctl "
+            "show before you publish again"
         )
         self.publish_id = publish_id
 
 
 class ConfigurationForgotten(CarawaywardError):
-    """The log holds neither its beginning nor a copy in force."""
+    """The log holds neither its first record nor a usable snapshot."""
 
     def __init__(self) -> None:
         super().__init__(
-            "the log holds neither its first record nor a copy of the "
+            "the log holds neither its first record nor a snapshot of the "
             "configuration in force; entry VMs append one within a quarter "
             "of the retention, so wait for that and publish again"
         )
 
 
 class LedgerError(CarawaywardError):
-    """An exported ledger is not whole."""
+    """An exported ledger is incomplete or invalid."""
 
     def __init__(self, field: str, found: object, remedy: str) -> None:
         super().__init__(f"ledger: {field}: found {found}; {remedy}")
@@ -146,11 +147,14 @@
 
 
 class NotConfirmed(CarawaywardError):
-    """Entry VMs have neither confirmed a revision nor lapsed."""
+    """Some entry VMs still have to confirm a revision.
+
+    An entry VM whose lease has expired no longer has to.
+    """
 
     def __init__(self, revision: int, waiting: list[str]) -> None:
         super().__init__(
             f"revision {revision} is not confirmed yet by "
-            f"{', '.join(waiting)}; ask again with --wait_s 15"
+            f"{', '.join(waiting)}; run the command again with --wait_s 15"
         )
         self.waiting = waiting
--- a/src/carawayward/http_client.py
+++ b/src/carawayward/http_client.py
@@ -1,4 +1,4 @@
-"""JSON over HTTP to the platform, by httpcore."""
+"""JSON over HTTP to the platform's services, built on httpcore."""
 
 import contextlib
 import json
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class Reply:
-    """Status and decoded body of a platform service's answer."""
+    """Status, headers and decoded body of a platform service's response."""
 
     status: int
     headers: dict[str, str]
@@ -22,18 +22,17 @@
 
 
 class TooLate(trio.TooSlowError):
-    """A call was stopped right before its first byte."""
+    """A call was cancelled right before its first byte was sent."""
 
 
 @attrs.define
 class SentMark:
-    """Notes whether a byte of a request may have left this machine.
+    """Records whether a byte of a request may have left this machine.
 
-    httpcore reports each step of a call; everything before the first
-    header is written is certain not to have reached the other side.
-    ``on_connect`` is called when the call makes a new connection.
-    ``may_send`` is asked at that very point; if it says no, the call ends
-    with TooLate and nothing is sent.
+    httpcore reports each step of a call. Until it starts to write the
+    headers, nothing can have reached the server. ``may_send`` is called at
+    that point; if it returns False, the call fails with TooLate and nothing
+    is sent. ``on_connect`` is called when the call opens a connection.
     """
 
     sent: bool = False
@@ -41,7 +40,7 @@
     may_send: typing.Callable[[], bool] = lambda: True
 
     async def trace(self, name: str, info: dict) -> None:
-        """Receive httpcore's trace events."""
+        """Handle a trace event of httpcore."""
         if name.endswith("send_request_headers.started"):
             if not self.may_send():
                 raise TooLate()
@@ -51,11 +50,11 @@
 
 
 def write_nonblocking(stream: trio.SocketStream, data: bytes) -> int:
-    """Write what a connection takes at once; return how much that was.
+    """Write as much as possible without blocking; return the byte count.
 
-    A write through trio costs two turns of the scheduler, though the
-    connection nearly always takes all of it. After 0 the caller writes
-    through trio and meets there whatever the fault was.
+    A write through trio costs two scheduler cycles, although the socket
+    buffer nearly always has room for all of it. When this returns 0, the
+    caller writes through trio, which raises the error if there is one.
     """
     try:
         return os.write(stream.socket.fileno(), data)
@@ -66,8 +65,8 @@
 async def drop_idle(pool: httpcore.AsyncConnectionPool) -> None:
     """Close a pool's idle connections.
 
-    When one connection went silent for good, the idle ones beside it went
-    the same way more often than not; each would cost a call its timeout.
+    When one connection has gone silent for good, the idle connections to
+    the same server usually have too; each would cost a call its timeout.
     """
     for connection in list(pool.connections):
         if connection.is_idle():
@@ -90,7 +89,7 @@
 class PlatformClient:
     """A pool of connections to one platform service.
 
-    ``caller`` names this process to the service, for its operators' logs.
+    ``caller`` identifies this process in the service's logs.
     """
 
     service: str
@@ -110,9 +109,9 @@
         timeout_ms: float = 5_000,
         may_send: typing.Callable[[], bool] = lambda: True,
     ) -> Reply:
-        """Make one call; raise PlatformUnavailable when there is no answer.
+        """Make one call; raise PlatformUnavailable if there is no response.
 
-        Any status is an answer except those that say "come back later".
+        429, 503 and other server errors also count as no response.
         """
         mark = SentMark(may_send=may_send)
         content = None if body is None else json.dumps(body).encode()
@@ -131,7 +130,7 @@
         except CALL_FAILURES as cause:
             if isinstance(cause, trio.TooSlowError):
                 await drop_idle(self.pool)
-            detail = f"no answer ({type(cause).__name__})"
+            detail = f"no response ({type(cause).__name__})"
             raise errors.PlatformUnavailable(
                 self.service, detail, sent=mark.sent
             ) from cause
--- a/src/carawayward/http_server.py
+++ b/src/carawayward/http_server.py
@@ -1,11 +1,14 @@
-"""Serves HTTP/1.1 by hypercorn, one connection's faults apart from others.
-
-hypercorn's own server runs all connections in one nursery, so that what
-nobody expected on one of them would end them all; it goes over to HTTP/2
-and WebSocket when a caller asks for it, and holds such a connection without
-a bound when what follows is junk; and it shields its writes, so that a
-caller who takes no data holds a task until TCP gives up. Its connection
-classes are taken here, with these four things put right.
+"""Serves HTTP/1.1 with hypercorn and isolates connections from each other.
+
+hypercorn's own server has four problems that its connection classes are
+extended here to avoid:
+
+- it runs all connections in one nursery, so that an unexpected exception on
+  one of them ends them all;
+- it switches to HTTP/2 and WebSocket when a caller asks for it;
+- it keeps such a connection open without a bound if malformed data follows;
+- it shields its writes from cancellation, so that a caller who accepts no
+  data occupies a task until TCP times out.
 """
 
 import functools
@@ -31,25 +34,25 @@
 from carawayward import listening
 from carawayward import supervision
 
-IDLE_CHECK_S = 0.25
-CLOSE_CHECK_S = 0.02
-# How long connections without a request stay open once the listener takes no
-# further ones. A caller that connected or sent a moment before cannot know of
-# the stop: closed at once, one of 34 runs in which all entry VMs are replaced
-# left a request without an answer. Callers are some ms away, and a busy
-# process reads within tens.
+IDLE_CHECK_INTERVAL_S = 0.25
+CLOSE_CHECK_INTERVAL_S = 0.02
+# How long connections without a request stay open after the listener has
+# stopped accepting. A caller that has just connected or sent a request cannot
+# know of the stop: when such connections were closed at once, one of 34 runs
+# that replace all entry VMs left a request without an answer. Callers are a
+# few ms away, and a busy process reads within tens of ms.
 IDLE_GRACE_S = 0.1
 
 
 class Exchange(http_stream.HTTPStream):
-    """One request and its reply."""
+    """One request and its response."""
 
     protocol: "Http1Protocol"
 
     async def app_send(
         self, message: hypercorn_typing.ASGISendEvent | None
     ) -> None:
-        """Send one message of the application."""
+        """Send one ASGI message of the application."""
         last = (
             message is not None
             and message["type"] == "http.response.body"
@@ -59,7 +62,7 @@
             await super().app_send(message)
             return
         self.protocol.ending = True
-        self.protocol.hold()
+        self.protocol.start_buffering()
         try:
             await super().app_send(message)
         finally:
@@ -68,47 +71,47 @@
 
 
 class Http1Protocol(h11_protocol.H11Protocol):
-    """HTTP/1.1 and nothing else; a server may ignore "Upgrade".
+    """HTTP/1.1 only; a server is allowed to ignore "Upgrade".
 
-    The head of a reply goes out with its first piece, and the end of a
-    reply with its last: each write is a call of the system, which costs
-    more than all else that a token needs. ``chunked`` says that the pieces
-    of the present reply are framed here, in one step instead of a dozen.
+    The head of a response is sent with its first chunk and the end with its
+    last: each write is a system call, which costs more than everything else
+    that a token takes. ``chunked`` says that the chunks of the current
+    response are framed here, in one step instead of a dozen.
     """
 
     def __init__(self, *arguments: typing.Any) -> None:
         super().__init__(*arguments)
         self.chunked = False
         self.ending = False
-        self.held: list[bytes] | None = None
-        self.pass_on = self.send
+        self.buffered: list[bytes] | None = None
+        self.send_unbuffered = self.send
         self.send = self._send
 
     async def _send(self, event: hypercorn_events.Event) -> None:
         if isinstance(event, hypercorn_events.RawData):
-            if self.held is not None:
-                self.held.append(event.data)
+            if self.buffered is not None:
+                self.buffered.append(event.data)
                 return
         else:
             await self.release()
-        await self.pass_on(event)
+        await self.send_unbuffered(event)
 
-    def hold(self) -> None:
-        """Keep what is sent until it is released."""
-        if self.held is None:
-            self.held = []
+    def start_buffering(self) -> None:
+        """Buffer what is sent until it is released."""
+        if self.buffered is None:
+            self.buffered = []
 
     async def release(self) -> None:
-        """Write what was kept, in one piece."""
-        held, self.held = self.held, None
-        if held:
-            data = b"".join(held)
-            await self.pass_on(hypercorn_events.RawData(data=data))
+        """Send the buffered data in one write and stop buffering."""
+        buffered, self.buffered = self.buffered, None
+        if buffered:
+            data = b"".join(buffered)
+            await self.send_unbuffered(hypercorn_events.RawData(data=data))
 
     async def stream_send(
         self, event: hypercorn_protocol_events.Event
     ) -> None:
-        """Send one event of a reply."""
+        """Send one event of a response."""
         if type(event) is hypercorn_protocol_events.Body:
             if self.chunked:
                 size = b"%x\r\n" % len(event.data)
@@ -121,11 +124,11 @@
             return
         if type(event) is hypercorn_protocol_events.Response:
             self.chunked = self._will_chunk(event)
-            self.hold()
+            self.start_buffering()
         await super().stream_send(event)
 
     def _will_chunk(self, event: hypercorn_protocol_events.Response) -> bool:
-        """Whether h11 frames this reply in chunks, as it then decides."""
+        """Whether h11 will use chunked encoding; mirrors its own decision."""
         assert isinstance(self.connection, h11.Connection)
         sized = any(name == b"content-length" for name, _ in event.headers)
         version = self.connection.their_http_version or b"1.0"
@@ -133,7 +136,7 @@
         return not sized and not bodiless and version >= b"1.1"
 
     async def _check_protocol(self, event: h11.Request) -> None:
-        """Go over to no other protocol."""
+        """Never switch to another protocol."""
 
     async def _create_stream(self, request: h11.Request) -> None:
         stream = Exchange(
@@ -162,14 +165,14 @@
         self.keep_alive_requests += 1
 
     async def _send_error_response(self, status_code: int) -> None:
-        """Refuse what is no HTTP in the form of all other refusals."""
+        """Refuse invalid HTTP with a problem document like other refusals."""
         events.log_event(
             events.Event.REQUEST_BAD, field="http", status=status_code
         )
         problem = {
             "title": "bad request",
             "status": status_code,
-            "detail": "this is no HTTP/1.1 request, or its head is too large",
+            "detail": "not a valid HTTP/1.1 request, or its head is too large",
             "not_run": True,
         }
         body = json.dumps(problem).encode()
@@ -186,27 +189,27 @@
         await self._send_h11_event(h11.EndOfMessage())
 
 
-class IdleMark:
-    """Notes since when a connection has carried no request.
+class IdleTimer:
+    """Records since when a connection has carried no request.
 
-    It stands where hypercorn starts and ends a task for each request; one
-    task looks at all marks instead.
+    It replaces a task that hypercorn starts and ends for each request; a
+    single task checks the timers of all connections instead.
     """
 
     def __init__(self) -> None:
         self.since: float | None = None
 
     async def restart(self, task_group: object, action: object) -> None:
-        """Begin to be idle."""
+        """Record that the connection becomes idle."""
         self.since = trio.current_time()
 
     async def stop(self) -> None:
-        """Be idle no longer."""
+        """Record that the connection is no longer idle."""
         self.since = None
 
 
 class Connection(tcp_server.TCPServer):
-    """One caller's connection; ``open_connections`` are all there are."""
+    """A caller's connection; ``open_connections`` is the set of all."""
 
     config: listening.ListenerConfig
 
@@ -215,11 +218,11 @@
     ) -> None:
         super().__init__(*arguments)
         self.open_connections = open_connections
-        self.idle = IdleMark()
+        self.idle = IdleTimer()
         self.idle_task = typing.cast(worker_context.TrioSingleTask, self.idle)
 
     async def run(self) -> None:
-        """Serve the connection; a fault ends this connection alone."""
+        """Serve the connection; an exception ends only this connection."""
         self.open_connections.add(self)
         try:
             await super().run()
@@ -236,20 +239,20 @@
             self.open_connections.discard(self)
             await trio.aclose_forcefully(self.stream)
 
-    def end_idle(self) -> None:
-        """Close the connection, at once and from outside its task.
+    def abort(self) -> None:
+        """Close the connection immediately, from outside its task.
 
-        Its task, which waits for a request, finds it closed and ends.
+        Its task, which waits for a request, then finds it closed and ends.
         """
-        self._find_socket().close()
+        self._get_socket().close()
 
     def has_unread(self) -> bool:
-        """Whether bytes of the caller wait to be read.
+        """Whether the socket has received bytes that are not read yet.
 
-        trio's sockets wait for bytes, so this looks by one of the standard
-        library's, which is detached before it could close the connection.
+        trio's sockets would wait for bytes, so this peeks through a socket
+        of the standard library, detached before it can close the connection.
         """
-        descriptor = self._find_socket().fileno()
+        descriptor = self._get_socket().fileno()
         if descriptor < 0:
             return False
         plain = socket.socket(fileno=descriptor)
@@ -261,33 +264,33 @@
         finally:
             plain.detach()
 
-    def _find_socket(self) -> trio.socket.SocketType:
+    def _get_socket(self) -> trio.socket.SocketType:
         stream: typing.Any = self.stream
         if isinstance(stream, trio.SSLStream):
             stream = stream.transport_stream
         return stream.socket
 
     async def _read_data(self) -> None:
-        made = self.protocol
-        made.protocol = Http1Protocol(
-            made.app,
-            made.config,
-            made.context,
-            made.task_group,
-            made.state,
-            made.ssl,
-            made.client,
-            made.server,
-            made.send,
+        wrapper = self.protocol
+        wrapper.protocol = Http1Protocol(
+            wrapper.app,
+            wrapper.config,
+            wrapper.context,
+            wrapper.task_group,
+            wrapper.state,
+            wrapper.ssl,
+            wrapper.client,
+            wrapper.server,
+            wrapper.send,
         )
         await super()._read_data()
 
     async def protocol_send(self, event: hypercorn_events.Event) -> None:
-        """Write within a bound.
+        """Write with a time limit.
 
-        A write that is cancelled halfway would leave half a message on the
-        wire, hence the shield; one that is not taken in time ends the
-        connection, and with it the run that it was for.
+        Writes are shielded because a cancelled one would leave a partial
+        message on the wire. A write that does not complete in time closes
+        the connection, and with it ends the run that it belongs to.
         """
         if not isinstance(event, hypercorn_events.RawData):
             await super().protocol_send(event)
@@ -320,15 +323,15 @@
 async def serve(
     app: typing.Any, config: listening.ListenerConfig, stop: trio.Event
 ) -> None:
-    """Serve until ``stop`` is set, then let open requests finish."""
+    """Serve until ``stop`` is set, then wait for open requests to finish."""
     context = worker_context.WorkerContext(None)
     open_connections: set[Connection] = set()
-    wrapped = hypercorn_utils.wrap_app(app, config.wsgi_max_body_size, "asgi")
+    asgi_app = hypercorn_utils.wrap_app(app, config.wsgi_max_body_size, "asgi")
 
     async def handle(stream: trio.abc.Stream) -> None:
         await Connection(
             open_connections,
-            wrapped,
+            asgi_app,
             config,
             context,
             hypercorn_typing.ConnectionState({}),
@@ -348,7 +351,7 @@
             )
             while not stop.is_set():
                 close_idle(open_connections, config.keep_alive_timeout)
-                with trio.move_on_after(IDLE_CHECK_S):
+                with trio.move_on_after(IDLE_CHECK_INTERVAL_S):
                     await stop.wait()
             accepting.cancel_scope.cancel()
         for port in ports:
@@ -359,32 +362,32 @@
             await trio.sleep(IDLE_GRACE_S)
             while open_connections:
                 close_idle(open_connections, 0.0)
-                await trio.sleep(CLOSE_CHECK_S)
+                await trio.sleep(CLOSE_CHECK_INTERVAL_S)
         connections.cancel_scope.cancel()
 
 
 def close_idle(connections: set[Connection], timeout_s: float) -> None:
-    """Have connections end that have carried no request for a while.
+    """Close connections that have carried no request for a while.
 
-    A request whose head has not come whole is none yet, so this also bounds
-    how long a head may dribble. Bytes that nobody has read yet may be a whole
-    request, which would be lost with the connection; they are read at once,
-    so that this holds up nothing.
+    A request counts only once its head is complete, so this also limits how
+    long a caller may take to send a head. Connections with unread bytes stay
+    open, since those may be a complete request; the bytes are about to be
+    read, so this delays a stop only briefly.
     """
     oldest = trio.current_time() - timeout_s
     for connection in connections:
         since = connection.idle.since
         if since is None or since > oldest or connection.has_unread():
             continue
-        connection.end_idle()
+        connection.abort()
 
 
-class QueueListener(trio.abc.Listener[trio.SocketStream]):
+class DrainableListener(trio.abc.Listener[trio.SocketStream]):
     """Accepts connections; ``aclose`` leaves its socket open.
 
-    Closing a listening socket resets the connections that the kernel has
-    accepted and the process has not, and with them requests that their
-    callers have sent. ``drain`` takes these, then closes the socket.
+    Closing a listening socket resets the connections in its accept queue,
+    and with them requests that callers have already sent. ``drain`` accepts
+    these connections, then closes the socket.
     """
 
     def __init__(self, listening_socket: socket.socket) -> None:
@@ -398,11 +401,11 @@
         return await self.inner.accept()
 
     async def aclose(self) -> None:
-        """Leave the socket to ``drain``."""
+        """Do nothing; ``drain`` closes the socket."""
         await trio.lowlevel.checkpoint()
 
     def drain(self) -> typing.Iterator[trio.SocketStream]:
-        """Accept the connections that wait, then close the socket."""
+        """Accept the queued connections, then close the socket."""
         with self.listening_socket:
             while True:
                 try:
@@ -422,21 +425,21 @@
 
 
 @attrs.frozen(eq=False)
-class Port:
-    """One listening address, with TLS if there is a context for it."""
+class ListeningPort:
+    """A listening socket, with TLS if ``tls`` is set."""
 
-    queue: QueueListener
+    queue: DrainableListener
     tls: ssl.SSLContext | None = None
 
     @property
     def listener(self) -> trio.abc.Listener:
-        """What is served until the stop."""
+        """The listener to serve until the stop."""
         if self.tls is None:
             return self.queue
         return trio.SSLListener(self.queue, self.tls, https_compatible=True)
 
     def close(self) -> typing.Iterator[trio.abc.Stream]:
-        """Close the address; yields the connections that still waited."""
+        """Close the socket; yield the connections that were still queued."""
         for stream in self.queue.drain():
             if self.tls is None:
                 yield stream
@@ -446,7 +449,7 @@
             )
 
 
-def make_ports(config: listening.ListenerConfig) -> list[Port]:
+def make_ports(config: listening.ListenerConfig) -> list[ListeningPort]:
     """Listen on the configured addresses."""
     sockets = config.create_sockets()
     ports = []
@@ -455,5 +458,5 @@
         tls = None
         if plain in sockets.secure_sockets:
             tls = config.create_ssl_context()
-        ports.append(Port(QueueListener(plain), tls))
+        ports.append(ListeningPort(DrainableListener(plain), tls))
     return ports
--- a/src/carawayward/listening.py
+++ b/src/carawayward/listening.py
@@ -1,4 +1,4 @@
-"""How listeners are set up: sockets, bounds and TLS."""
+"""Configuration of listeners: socket options, limits and TLS."""
 
 import socket
 import ssl
@@ -8,17 +8,17 @@
 from carawayward import errors
 from carawayward import settings as settings_module
 
-# A header of up to this size reaches the application, which refuses one
-# above its own limit with a reply that says so.
+# Headers of up to this size reach the application, which refuses those above
+# its own limit with a response that says so.
 MAX_HEADER_BYTES = 65_536
 
 
 def make_socket_options(silence_ms: int) -> list[tuple[int, int, int]]:
-    """Options that end a TCP connection whose other side went silent.
+    """Socket options that end a TCP connection whose peer went silent.
 
-    Keep-alive probes find a connection that carries nothing; the user
-    timeout ends one whose data is not taken, also when the other side
-    still acknowledges but never reads.
+    Keep-alive probes detect a dead connection that carries no data. The
+    user timeout ends a connection whose data is not accepted, also if the
+    peer still acknowledges but never reads.
     """
     probe_s = max(1, silence_ms // 4000)
     return [
@@ -31,15 +31,15 @@
 
 
 class ListenerConfig(hypercorn_config.Config):
-    """hypercorn's configuration, with options set on its sockets.
+    """A hypercorn configuration that sets options on listening sockets.
 
-    Accepted connections inherit them from the listening socket.
+    Accepted connections inherit the options of the listening socket.
     """
 
     silence_ms: int
 
     def create_sockets(self) -> hypercorn_config.Sockets:
-        """Make the listening sockets."""
+        """Create the listening sockets."""
         sockets = super().create_sockets()
         for each in sockets.secure_sockets + sockets.insecure_sockets:
             for option in make_socket_options(self.silence_ms):
@@ -53,10 +53,10 @@
     tls: settings_module.Tls | None,
     graceful_ms: int,
 ) -> ListenerConfig:
-    """A listener's configuration.
+    """Create a listener's configuration.
 
-    ``graceful_ms`` is how long open requests may take once it is told to
-    stop. The idle timeout also bounds how long a request's head may take.
+    ``graceful_ms`` is how long open requests may take after the listener
+    is stopped. The idle timeout also applies to reading a request's head.
     """
     config = ListenerConfig()
     config.silence_ms = limits.caller_silence_ms
@@ -78,7 +78,10 @@
 
 
 def make_server_context(tls: settings_module.Tls) -> ssl.SSLContext:
-    """A server's context; it asks for client certificates with a CA."""
+    """Create a server's context.
+
+    With ``client_ca`` it requires client certificates.
+    """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     _load_pair(context, tls)
     if tls.client_ca:
@@ -88,11 +91,11 @@
 
 
 def make_client_context(tls: settings_module.Tls) -> ssl.SSLContext:
-    """A client's context between entry VMs.
+    """Create a client's context for links between entry VMs.
 
-    Entry VMs call one another by IP number and are replaced at any time, so
-    that a certificate says that its holder is one of ours, not which one;
-    the handshake on the link says that.
+    Entry VMs connect to each other by IP address and may be replaced at any
+    time, so a certificate proves only that the peer belongs to the
+    deployment. The handshake on the link proves which peer it is.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
--- a/src/carawayward/log_output.py
+++ b/src/carawayward/log_output.py
@@ -1,8 +1,8 @@
-"""Log lines to standard output that never hold up the process.
+"""Writes log lines to standard output without ever blocking the process.
 
-A reader that stalls fills the pipe, and a plain write would then block every
-request. Lines wait in a bounded buffer; what does not fit is dropped, and
-how much is told by the next line that gets through.
+When the reader of a pipe stalls, the pipe fills up and a plain write would
+block all requests. Lines therefore wait in a bounded buffer. Lines that do
+not fit are dropped, and the next line written says how many.
 """
 
 import collections
@@ -17,31 +17,33 @@
 from absl import logging as absl_logging
 import attrs
 
-# A pipe that is ready takes at least this much without blocking (PIPE_BUF on
-# Linux), so that no descriptor that others share has to be made non-blocking.
+# A pipe that is ready accepts at least this much without blocking (PIPE_BUF on
+# Linux), so a descriptor shared with other processes need not be made
+# non-blocking.
 WRITE_BYTES = 4_096
-# About one second of the busiest entry VM; 200 bytes a line, 0.4 MB.
+# About one second of output of the busiest entry VM; 0.4 MB at 200 bytes a
+# line.
 MAX_LINES = 2_000
-# Lines a second, in the long run and at once, of those that tell of normal
-# work; warnings and errors have as much of their own, so that a flood of the
-# one never hides the other.
-LINES_A_SECOND = 200.0
+# Sustained rate and burst of lines below the level of warnings. Warnings and
+# errors have a token bucket of their own with the same limits, so that a flood
+# of one kind never hides the other.
+LINES_PER_S = 200.0
 BURST_LINES = 1_000.0
 
 
 @attrs.define
-class Allowance:
-    """Lines that may still be written, refilled with time."""
+class TokenBucket:
+    """Limits the rate of log lines; refilled over time."""
 
     left: float = BURST_LINES
-    seen_s: float | None = None
+    refilled_s: float | None = None
 
-    def take(self, now_s: float) -> bool:
-        """Whether one more line may be written now."""
-        if self.seen_s is not None:
-            refill = (now_s - self.seen_s) * LINES_A_SECOND
+    def try_take(self, now_s: float) -> bool:
+        """Take a token; return False if there is none."""
+        if self.refilled_s is not None:
+            refill = (now_s - self.refilled_s) * LINES_PER_S
             self.left = min(BURST_LINES, self.left + refill)
-        self.seen_s = now_s
+        self.refilled_s = now_s
         if self.left < 1.0:
             return False
         self.left -= 1.0
@@ -49,7 +51,7 @@
 
 
 class BoundedHandler(logging.Handler):
-    """Writes records to a descriptor as far as its reader keeps up."""
+    """Writes records to a descriptor as fast as its reader accepts them."""
 
     def __init__(
         self,
@@ -64,15 +66,15 @@
         self.lines: collections.deque[bytes] = collections.deque()
         self.partial = b""
         self.dropped = 0
-        self.usual = Allowance()
-        self.urgent = Allowance()
+        self.normal = TokenBucket()
+        self.urgent = TokenBucket()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Take one record; drop it if there is no room."""
+        """Queue one record; drop it if the queue or its rate limit is full."""
         urgent = record.levelno >= logging.WARNING
-        allowance = self.urgent if urgent else self.usual
+        bucket = self.urgent if urgent else self.normal
         full = len(self.lines) >= MAX_LINES
-        if full or not allowance.take(self.read_clock_s()):
+        if full or not bucket.try_take(self.read_clock_s()):
             self.dropped += 1
             return
         at_ms = int(record.created * 1000)
@@ -85,25 +87,25 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write as much as the reader takes just now."""
+        """Write as much as the reader accepts without blocking."""
         while (self.partial or self.lines) and self.is_ready():
             if not self.partial:
-                self.partial = self._join()
+                self.partial = self._join_lines()
             try:
                 count = self.write(self.partial[:WRITE_BYTES])
             except OSError:
-                # Nobody reads any more; there is nobody to tell.
+                # The reader is gone, so there is no one to log the error to.
                 self.lines.clear()
                 self.partial = b""
                 return
             self.partial = self.partial[count:]
 
-    def _join(self) -> bytes:
-        """The next lines, as many as go into one write."""
+    def _join_lines(self) -> bytes:
+        """Join the next lines, as many as fit into one write."""
         joined = b""
         if self.dropped:
-            told = {"event": "lines_dropped", "count": self.dropped}
-            joined = json.dumps(told).encode() + b"\n"
+            notice = {"event": "lines_dropped", "count": self.dropped}
+            joined = json.dumps(notice).encode() + b"\n"
             self.dropped = 0
         while self.lines and len(joined) + len(self.lines[0]) <= WRITE_BYTES:
             joined += self.lines.popleft()
@@ -118,7 +120,7 @@
 
 
 def install(level: str) -> BoundedHandler:
-    """Send all log lines of the process to standard output, bounded."""
+    """Route all log lines of the process through a BoundedHandler."""
     descriptor = sys.stdout.fileno()
     handler = BoundedHandler(
         lambda data: os.write(descriptor, data), make_ready_check(descriptor)
--- a/src/carawayward/metrics.py
+++ b/src/carawayward/metrics.py
@@ -1,7 +1,7 @@
-"""Histograms per customer and class, and counters, sent by statsd.
+"""Counters and histograms per customer and class of request, for statsd.
 
-The number of names is bounded: whatever comes past the bound is counted
-under ``other``, so that a caller who invents names cannot use up memory.
+The number of names is bounded: names beyond the bound are counted under
+``other``, so that a caller who makes up names cannot exhaust memory.
 """
 
 import enum
@@ -15,8 +15,9 @@
 from carawayward import clock as clock_module
 from carawayward import settings as settings_module
 
-# 16 bits a bucket pair at two significant digits is about 16 kB for each
-# histogram; 400 of them stay under 7 MB of the 64 MB for control.
+# At two significant digits and 16 bits for each pair of buckets a histogram
+# takes about 16 kB; 400 of them stay under 7 MB of the 64 MB reserved for
+# control.
 MAX_HISTOGRAMS = 400
 MAX_COUNTERS = 400
 SIGNIFICANT_DIGITS = 2
@@ -25,7 +26,7 @@
 
 
 class Metric(enum.Enum):
-    """What is measured: name, unit and the largest value told apart."""
+    """A measured quantity: name, unit and largest value recorded."""
 
     LATENCY = ("latency", "ms", 600_000)
     FIRST_TOKEN = ("first_token", "ms", 600_000)
@@ -40,12 +41,12 @@
 
     @property
     def unit(self) -> str:
-        """The unit of its values."""
+        """The unit of the values."""
         return str(self.value[1])
 
     @property
-    def highest(self) -> int:
-        """The largest value that is told apart."""
+    def max_value(self) -> int:
+        """The largest value recorded; larger ones are clamped to it."""
         return int(self.value[2])
 
 
@@ -54,7 +55,7 @@
 
 @attrs.define
 class Metrics:
-    """All measurements of one entry VM since its start."""
+    """All metrics of an entry VM since its start."""
 
     clock: clock_module.Clock
     histograms: dict[Key, hdr.HdrHistogram] = attrs.field(factory=dict)
@@ -64,8 +65,8 @@
         self, metric: Metric, customer: str, kind: str, value: float
     ) -> None:
         """Record one value for a customer and a class of request."""
-        histogram = self._find((metric, customer, kind))
-        histogram.record_value(min(max(1, round(value)), metric.highest))
+        histogram = self._get_histogram((metric, customer, kind))
+        histogram.record_value(min(max(1, round(value)), metric.max_value))
 
     def count(self, name: str, amount: float = 1) -> None:
         """Add to a counter."""
@@ -74,10 +75,10 @@
         self.counters[name] = self.counters.get(name, 0) + amount
 
     def watch(self, customer: str, kind: str) -> "AnswerWatch":
-        """Time an answer from now on."""
+        """Start timing an answer."""
         return AnswerWatch(self, customer, kind, self.clock.now_ms())
 
-    def _find(self, key: Key) -> hdr.HdrHistogram:
+    def _get_histogram(self, key: Key) -> hdr.HdrHistogram:
         found = self.histograms.get(key)
         if found is not None:
             return found
@@ -85,13 +86,13 @@
         if len(self.histograms) >= MAX_HISTOGRAMS:
             key = (metric, OTHER, OTHER)
         return self.histograms.setdefault(
-            key, hdr.HdrHistogram(1, metric.highest, SIGNIFICANT_DIGITS)
+            key, hdr.HdrHistogram(1, metric.max_value, SIGNIFICANT_DIGITS)
         )
 
 
 @attrs.define
 class AnswerWatch:
-    """Times one answer's pieces."""
+    """Times the chunks of one answer."""
 
     metrics: Metrics
     customer: str
@@ -100,7 +101,7 @@
     last_ms: float | None = None
 
     def record_chunk(self) -> None:
-        """Note that a piece of the answer is on its way to the caller."""
+        """Record that a chunk of the answer is being sent to the caller."""
         now_ms = self.metrics.clock.now_ms()
         if self.last_ms is None:
             self._observe(Metric.FIRST_TOKEN, now_ms - self.began_ms)
@@ -109,7 +110,7 @@
         self.last_ms = now_ms
 
     def record_end(self, outcome: str, plan: str, cost: float) -> None:
-        """Note the outcome; refusals are counted, not timed."""
+        """Record the outcome; only complete answers are timed."""
         self.metrics.count(f"outcomes.{outcome}")
         if outcome != "answered":
             self.metrics.count(f"{outcome}.{self.customer}")
@@ -126,9 +127,9 @@
 
 
 def summarize(metrics: Metrics) -> list[dict[str, typing.Any]]:
-    """Percentiles of each histogram, with the histogram itself encoded.
+    """Summarize each histogram by percentiles, and include it encoded.
 
-    The encoded form lets the operators' tool add up several entry VMs.
+    The operators' tool merges the encoded histograms of all entry VMs.
     """
     rows = []
     for (metric, customer, kind), histogram in metrics.histograms.items():
@@ -151,7 +152,7 @@
 
 @attrs.define
 class MetricsController:
-    """Sends counters and percentiles to statsd, grouped, at a fixed pace."""
+    """Sends counters, gauges and percentiles to statsd in intervals."""
 
     metrics: Metrics
     address: str
@@ -161,34 +162,34 @@
     _client: statsd.StatsClient | None = None
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to send, if the settings name a statsd."""
+        """Start sending if the settings name a statsd server."""
         if not self.address:
             return
         host, port = settings_module.split_address(self.address)
         self._client = statsd.StatsClient(host, port, prefix=self.prefix)
-        nursery.start_soon(self._flush_forever)
+        nursery.start_soon(self._flush_periodically)
 
     async def close(self) -> None:
-        """Send what is left."""
+        """Send the remaining changes."""
         self.flush()
 
-    async def _flush_forever(self) -> None:
+    async def _flush_periodically(self) -> None:
         while True:
             await self.metrics.clock.sleep(FLUSH_MS)
             self.flush()
 
     def flush(self) -> None:
-        """Send everything that changed since the last time, in few packets.
+        """Send what has changed since the last flush, in few packets.
 
-        UDP to a statsd that is down loses the figures and nothing else.
+        If statsd is down, UDP loses these values and nothing else.
         """
         if self._client is None:
             return
         with self._client.pipeline() as pipe:
             for name, total in list(self.metrics.counters.items()):
-                grown = total - self._sent.get(name, 0)
-                if grown:
-                    pipe.incr(name, grown)
+                increase = total - self._sent.get(name, 0)
+                if increase:
+                    pipe.incr(name, increase)
                     self._sent[name] = total
             for name, value in self.collect_gauges().items():
                 pipe.gauge(name, value)
--- a/src/carawayward/outcomes.py
+++ b/src/carawayward/outcomes.py
@@ -1,8 +1,8 @@
-"""Tagged outcomes of a request; matched with ``match``.
+"""Outcomes of a request, as a union of classes for ``match``.
 
-The difference between ``NotRun`` and ``Unknown`` is a promise: ``NotRun``
-may be said only when no byte of the request has left this entry VM and no
-earlier attempt under the same key can have run.
+``NotRun`` is a guarantee, ``Unknown`` is not: ``NotRun`` may be returned
+only if no byte of the request has left this entry VM and no earlier attempt
+under the same key can have run.
 """
 
 import dataclasses
@@ -10,7 +10,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a request was not run, or what is not known about it."""
+    """Why a request was not run, is unknown or was interrupted."""
 
     NOT_READY = "not-ready"
     LEAVING = "leaving"
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """The whole answer, as the endpoint gave it."""
+    """The complete answer of the endpoint."""
 
     text: str
     version: str
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """Refused, and certain not to have run; come back after the delay."""
+    """Refused and certain not to have run; retry after the delay."""
 
     reason: Reason
     remedy: str
@@ -54,9 +54,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """It may or may not have run; it must not be repeated blindly.
+    """It may or may not have run, so it must not simply be repeated.
 
-    ``retry_after_ms`` is when to ask again, under the same key or ticket.
+    ``retry_after_ms`` is when to retry with the same key or ticket.
     """
 
     reason: Reason
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Interrupted:
-    """The answer broke off after ``partial`` had reached the caller."""
+    """The answer was cut off after ``partial`` was sent to the caller."""
 
     reason: Reason
     partial: str
--- a/src/carawayward/peers/dialling.py
+++ b/src/carawayward/peers/dialling.py
@@ -15,27 +15,27 @@
 if typing.TYPE_CHECKING:
     from carawayward.peers import hub as hub_module
 
-ROUND_S = 0.5
+LINK_CHECK_INTERVAL_S = 0.5
 # A peer that did not answer is left out of the choice for so long, so that
 # another one takes its place and a dead address costs little.
-AVOID_S = 10.0
+FAILED_DIAL_BACKOFF_S = 10.0
 # Of two peers that choose each other, the one with the smaller address
 # dials at once and the other one after this, so that one link comes about.
-YIELD_S = 1.0
+LARGER_ADDRESS_DELAY_S = 1.0
 # A link that this side made and no longer chooses ends after this long
 # without a call.
-IDLE_S = 20.0
+UNUSED_LINK_TIMEOUT_S = 20.0
 # Now and then a link to a seed is made though none is chosen: two parts of
 # a deployment that have forgotten each other in a long partition meet
 # again through it.
-SEED_EVERY_S = 30.0
+SEED_LINK_INTERVAL_S = 30.0
 MAX_DIALS = 8
 
 Choose = typing.Callable[
     [topology.Member, typing.Iterable[topology.Member]], frozenset[str]
 ]
 
-FAILURES = (
+DIAL_FAILURES = (
     OSError,
     EOFError,
     trio.TooSlowError,
@@ -60,10 +60,10 @@
     hub: "hub_module.PeerHub"
     choose_peers: Choose
     dialling: dict[str, trio.Event] = attrs.field(factory=dict)
-    avoided: dict[str, float] = attrs.field(factory=dict)
+    backing_off: dict[str, float] = attrs.field(factory=dict)
     wanted_since: dict[str, float] = attrs.field(factory=dict)
     routes: dict[str, str] = attrs.field(factory=dict)
-    _seed_at: float = float("-inf")
+    _last_seed_link_s: float = float("-inf")
     _nursery: trio.Nursery | None = None
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -72,7 +72,7 @@
         self.routes.update(self.hub.settings.peer_routes)
         nursery.start_soon(self._keep_links)
 
-    def record_arrival(self, dialled: str, given: str) -> None:
+    def record_link_up(self, dialled: str, given: str) -> None:
         """Note that a peer answered a dial, and which address it gave."""
         if dialled in self.hub.settings.peers:
             self.routes[given] = dialled
@@ -82,10 +82,10 @@
         """Whether each seed is linked or has just failed to answer."""
         seeds = set(self.hub.settings.peers)
         seeds.discard(self.hub.settings.listen.peers)
-        linked = self._list_linked()
+        linked = self._list_linked_addresses()
         if len(seeds) > topology.FULL_MESH_MOST:
             return bool(linked)
-        return seeds <= linked | set(self.avoided)
+        return seeds <= linked | set(self.backing_off)
 
     async def dial_now(self, address: str, peer: str) -> None:
         """Dial an address, or join the dial that is under way.
@@ -94,44 +94,48 @@
         """
         address = self.routes.get(address, address)
         if address not in self.dialling:
-            self._begin(address)
-        over = self.dialling[address]
-        while peer not in self.hub.links and not over.is_set():
+            self._start_dial(address)
+        done = self.dialling[address]
+        while peer not in self.hub.links and not done.is_set():
             await trio.sleep(0.005)
 
-    def _begin(self, address: str) -> None:
+    def _start_dial(self, address: str) -> None:
         assert self._nursery is not None
-        over = self.dialling[address] = trio.Event()
-        self._nursery.start_soon(self._dial, address, over)
+        done = self.dialling[address] = trio.Event()
+        self._nursery.start_soon(self._dial, address, done)
 
-    async def _dial(self, address: str, over: trio.Event) -> None:
+    async def _dial(self, address: str, done: trio.Event) -> None:
         try:
             await self.hub.dial(address)
         except (Exception, BaseExceptionGroup) as fault:
             _, rest = supervision.split_cancelled(fault)
             if rest is None:
                 raise
-            self.avoided[address] = trio.current_time() + AVOID_S
+            self.backing_off[address] = (
+                trio.current_time() + FAILED_DIAL_BACKOFF_S
+            )
             if not is_dial_failure(rest):
                 detail = supervision.describe_fault(rest)
                 events.log_event(events.Event.FAULT, detail=detail)
         finally:
-            if self.dialling.get(address) is over:
+            if self.dialling.get(address) is done:
                 self.dialling.pop(address).set()
 
     async def _keep_links(self) -> None:
         while True:
             now = trio.current_time()
-            self._forget(now)
-            self._drop_unwanted(now)
-            for address in self._list_due(now):
+            self._drop_expired_backoffs(now)
+            self._close_unneeded_links(now)
+            for address in self._list_addresses_to_dial(now):
                 if len(self.dialling) >= MAX_DIALS:
                     break
-                self._begin(address)
-            await trio.sleep(ROUND_S * random.uniform(0.8, 1.2))
+                self._start_dial(address)
+            await trio.sleep(LINK_CHECK_INTERVAL_S * random.uniform(0.8, 1.2))
 
-    def _forget(self, now: float) -> None:
-        self.avoided = {a: t for a, t in self.avoided.items() if t > now}
+    def _drop_expired_backoffs(self, now: float) -> None:
+        self.backing_off = {
+            a: t for a, t in self.backing_off.items() if t > now
+        }
 
     def choose(self) -> frozenset[str]:
         """Names of the peers that links are kept to."""
@@ -142,28 +146,29 @@
                 topology.Member(vm.name, vm.failure_domain)
                 for vm in board.entry_vms.values()
                 if not vm.leaving
-                and self.routes.get(vm.address, vm.address) not in self.avoided
+                and self.routes.get(vm.address, vm.address)
+                not in self.backing_off
             ],
         )
 
-    def _list_linked(self) -> set[str]:
+    def _list_linked_addresses(self) -> set[str]:
         """Addresses under which linked peers are reached."""
         given = [link.identity.address for link in self.hub.links.values()]
         return {self.routes.get(each, each) for each in given}
 
-    def _list_due(self, now: float) -> list[str]:
+    def _list_addresses_to_dial(self, now: float) -> list[str]:
         """Addresses to dial in this round."""
         hub = self.hub
         known = hub.board.entry_vms
         given = [known[name].address for name in self.choose()]
         addresses = {self.routes.get(each, each) for each in given}
-        addresses.update(self._list_seeds(now))
-        linked = self._list_linked()
+        addresses.update(self._list_seeds_to_link(now))
+        linked = self._list_linked_addresses()
         here = hub.settings.listen.peers
         open_addresses = {
             address
             for address in addresses - linked - {here}
-            if address not in self.dialling and address not in self.avoided
+            if address not in self.dialling and address not in self.backing_off
         }
         self.wanted_since = {
             address: self.wanted_since.get(address, now)
@@ -172,10 +177,10 @@
         return sorted(
             address
             for address, since in self.wanted_since.items()
-            if here < address or now - since >= YIELD_S
+            if here < address or now - since >= LARGER_ADDRESS_DELAY_S
         )
 
-    def _list_seeds(self, now: float) -> list[str]:
+    def _list_seeds_to_link(self, now: float) -> list[str]:
         """Seeds to link to, though their names may not be known yet."""
         hub = self.hub
         seeds = hub.settings.peers
@@ -184,12 +189,15 @@
             return list(seeds)
         here = hub.settings.listen.peers
         others = [seed for seed in seeds if seed != here]
-        if others and (not hub.links or now - self._seed_at > SEED_EVERY_S):
-            self._seed_at = now
+        if others and (
+            not hub.links
+            or now - self._last_seed_link_s > SEED_LINK_INTERVAL_S
+        ):
+            self._last_seed_link_s = now
             return [random.choice(others)]
         return []
 
-    def _drop_unwanted(self, now: float) -> None:
+    def _close_unneeded_links(self, now: float) -> None:
         """Close own links that are neither chosen nor used."""
         chosen = self.choose()
         seeds = set(self.hub.settings.peers)
@@ -198,7 +206,7 @@
             given = link.identity.address
             seeded = small and self.routes.get(given, given) in seeds
             kept = name in chosen or seeded
-            idle = now - link.used > IDLE_S
+            idle = now - link.last_call_s > UNUSED_LINK_TIMEOUT_S
             if link.dialled and not kept and idle:
                 link.close()
 
@@ -207,4 +215,4 @@
     """Whether this is how a peer that cannot be reached shows itself."""
     if isinstance(fault, BaseExceptionGroup):
         return all(is_dial_failure(each) for each in fault.exceptions)
-    return isinstance(fault, FAILURES)
+    return isinstance(fault, DIAL_FAILURES)
--- a/src/carawayward/peers/hub.py
+++ b/src/carawayward/peers/hub.py
@@ -23,17 +23,17 @@
 from carawayward.protocol import topology
 from carawayward import settings as settings_module
 
-HANDSHAKE_S = 3.0
+HANDSHAKE_TIMEOUT_S = 3.0
 DIAL_TIMEOUT_MS = 3_000.0
-CLOSE_S = 0.5
+CLOSE_TIMEOUT_S = 0.5
 # The longest message is a whole configuration document.
 MAX_MESSAGE_BYTES = 4_000_000
 # Connections whose other side has not proved who it is yet. Junk on the
 # port can hold no more than these, and each for HANDSHAKE_S only.
-MAX_UNPROVEN = 32
+MAX_UNAUTHENTICATED = 32
 # A link that another one has replaced may still carry answers for a while.
 REPLACED_LINK_GRACE_S = 2.0
-UNKNOWN_POLL_S = 0.05
+UNKNOWN_PEER_POLL_S = 0.05
 
 Handler = typing.Callable[[str, typing.Any], typing.Awaitable[typing.Any]]
 LinkCallback = typing.Callable[[str], typing.Awaitable[None]]
@@ -54,7 +54,7 @@
     choose_peers: dialling.Choose = topology.choose_peers
     links: dict[str, link_module.Link] = attrs.field(factory=dict)
     handlers: dict[str, Handler] = attrs.field(factory=dict)
-    _unproven: int = 0
+    _unauthenticated: int = 0
     _nursery: trio.Nursery | None = None
     _dialler: dialling.Dialler = attrs.field(init=False)
     _link_callbacks: list[LinkCallback] = attrs.field(factory=list)
@@ -66,9 +66,9 @@
         """Register what answers messages of ``kind``."""
         self.handlers[kind] = handler
 
-    def add_link_callback(self, greeter: LinkCallback) -> None:
+    def add_link_callback(self, callback: LinkCallback) -> None:
         """Register what is called with the name of each new link's peer."""
-        self._link_callbacks.append(greeter)
+        self._link_callbacks.append(callback)
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Listen for peers, and keep links to those that are chosen."""
@@ -82,7 +82,7 @@
                 port,
                 host=host,
                 ssl=listening.make_server_context(tls) if tls else None,
-                open_timeout=HANDSHAKE_S,
+                open_timeout=HANDSHAKE_TIMEOUT_S,
                 create_connection=PeerConnection,
                 logger=make_logger(),
                 **SOCKET_LIMITS,
@@ -93,7 +93,7 @@
     async def close(self) -> None:
         """Close all links, after what is queued has had a moment to go."""
         if self.links:
-            await trio.sleep(CLOSE_S)
+            await trio.sleep(CLOSE_TIMEOUT_S)
         for link in list(self.links.values()):
             link.close()
 
@@ -128,7 +128,7 @@
                 if known is not None:
                     await self._dialler.dial_now(known.address, peer)
                     break
-                await trio.sleep(UNKNOWN_POLL_S)
+                await trio.sleep(UNKNOWN_PEER_POLL_S)
         link = self.links.get(peer)
         if link is None:
             raise errors.PeerUnavailable(f"peer {peer}: no link")
@@ -157,24 +157,26 @@
             await self.notify(peer, kind, body)
 
     async def _accept(self, socket: ws_server.ServerConnection) -> None:
-        if self._unproven >= MAX_UNPROVEN:
-            self._refuse("too many connections without proof")
+        if self._unauthenticated >= MAX_UNAUTHENTICATED:
+            self._log_refusal("too many connections without proof")
             return
-        self._unproven += 1
+        self._unauthenticated += 1
         try:
-            with trio.fail_after(HANDSHAKE_S):
-                identity = await self._admit(socket)
+            with trio.fail_after(HANDSHAKE_TIMEOUT_S):
+                identity = await self._authenticate_dialler(socket)
         except errors.NotAuthenticated as fault:
-            self._refuse(str(fault))
+            self._log_refusal(str(fault))
             return
         except (trio.TooSlowError, websockets.ConnectionClosed, OSError):
-            self._refuse("no proof in time")
+            self._log_refusal("no proof in time")
             return
         finally:
-            self._unproven -= 1
+            self._unauthenticated -= 1
         await self._run_link(identity, socket, dialled=False)
 
-    async def _admit(self, socket: typing.Any) -> handshake.Identity:
+    async def _authenticate_dialler(
+        self, socket: typing.Any
+    ) -> handshake.Identity:
         """Challenge whoever connected, then prove who we are."""
         keys = self.settings.keys.peers
         challenge = secrets.token_bytes(handshake.NONCE_BYTES)
@@ -200,15 +202,17 @@
             f"{scheme}://{address}/",
             ssl=listening.make_client_context(tls) if tls else None,
             proxy=None,
-            open_timeout=HANDSHAKE_S,
+            open_timeout=HANDSHAKE_TIMEOUT_S,
             **SOCKET_LIMITS,
         ) as socket:
-            with trio.fail_after(HANDSHAKE_S):
-                identity = await self._introduce(socket)
-            self._dialler.record_arrival(address, identity.address)
+            with trio.fail_after(HANDSHAKE_TIMEOUT_S):
+                identity = await self._authenticate_listener(socket)
+            self._dialler.record_link_up(address, identity.address)
             await self._run_link(identity, socket, dialled=True)
 
-    async def _introduce(self, socket: typing.Any) -> handshake.Identity:
+    async def _authenticate_listener(
+        self, socket: typing.Any
+    ) -> handshake.Identity:
         """Answer the challenge, then check who answered ours."""
         keys = self.settings.keys.peers
         challenge = await socket.recv()
@@ -239,7 +243,7 @@
             self.settings.listen.peers,
         )
 
-    def _refuse(self, detail: str) -> None:
+    def _log_refusal(self, detail: str) -> None:
         events.log_event(events.Event.PEER_REFUSED, detail=detail)
 
     async def _run_link(
@@ -248,24 +252,24 @@
         if identity.name == self.board.name:
             return
         link = link_module.Link(
-            identity, socket, dialled, on_close=self._delist
+            identity, socket, dialled, on_close=self._remove_link
         )
         older = self.links.get(link.peer)
         self.links[link.peer] = link
         if older is not None and self._nursery is not None:
-            self._nursery.start_soon(linger, older)
-        self._record_linked(identity)
+            self._nursery.start_soon(close_after_grace, older)
+        self._record_member(identity)
         events.log_event(events.Event.PEER_UP, peer=link.peer)
-        for greet in self._link_callbacks:
-            await greet(link.peer)
+        for notify_link in self._link_callbacks:
+            await notify_link(link.peer)
         await link.run(self._serve)
 
-    def _delist(self, link: link_module.Link) -> None:
+    def _remove_link(self, link: link_module.Link) -> None:
         if self.links.get(link.peer) is link:
             del self.links[link.peer]
             events.log_event(events.Event.PEER_DOWN, peer=link.peer)
 
-    def _record_linked(self, identity: handshake.Identity) -> None:
+    def _record_member(self, identity: handshake.Identity) -> None:
         """Take what a peer has proved of itself."""
         members = self.board.entry_vms
         known = members.get(identity.name)
@@ -290,11 +294,11 @@
     "compression": None,
     "max_size": MAX_MESSAGE_BYTES,
     "ping_interval": None,
-    "close_timeout": CLOSE_S,
+    "close_timeout": CLOSE_TIMEOUT_S,
 }
 
 
-async def linger(link: link_module.Link) -> None:
+async def close_after_grace(link: link_module.Link) -> None:
     """Close a replaced link once its last answers have had time to come."""
     await trio.sleep(REPLACED_LINK_GRACE_S)
     link.close()
--- a/src/carawayward/peers/link.py
+++ b/src/carawayward/peers/link.py
@@ -28,7 +28,7 @@
 # loses messages, which all of them can bear: calls time out, and what is
 # told is told again.
 MAX_QUEUED = 512
-MAX_SERVED = 256
+MAX_IN_SERVICE = 256
 
 Serve = typing.Callable[
     ["Link", messages.Message], typing.Awaitable[typing.Any]
@@ -54,14 +54,14 @@
     answers: dict[int, typing.Any] = attrs.field(factory=dict)
     closed: bool = False
     heard: float = attrs.field(factory=trio.current_time)
-    used: float = attrs.field(factory=trio.current_time)
+    last_call_s: float = attrs.field(factory=trio.current_time)
     _numbers: typing.Iterator[int] = attrs.field(
         factory=lambda: itertools.count(1)
     )
     _scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
     _outgoing: trio.MemorySendChannel = attrs.field(init=False)
     _queue: trio.MemoryReceiveChannel = attrs.field(init=False)
-    _served: int = 0
+    _in_service: int = 0
 
     def __attrs_post_init__(self) -> None:
         self._outgoing, self._queue = trio.open_memory_channel[
@@ -95,7 +95,7 @@
         """Send a call and return its answer, or raise PeerUnavailable."""
         number = next(self._numbers)
         event = self.waiting[number] = trio.Event()
-        self.used = trio.current_time()
+        self.last_call_s = trio.current_time()
         try:
             self.send(messages.Message(kind, body, call=number))
             with trio.fail_after(timeout_ms / 1000):
@@ -126,7 +126,7 @@
             with self._scope:
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self._write)
-                    nursery.start_soon(self._beat)
+                    nursery.start_soon(self._send_heartbeats)
                     await self._read(serve, nursery)
                     nursery.cancel_scope.cancel()
         finally:
@@ -140,7 +140,7 @@
             with contextlib.suppress(ws_errors.ConnectionClosed, OSError):
                 await self.socket.send(messages.encode(message))
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while trio.current_time() - self.heard < SILENCE_TIMEOUT_S:
             with contextlib.suppress(errors.PeerUnavailable):
                 self.send(messages.Message(HEARTBEAT, None))
@@ -154,11 +154,11 @@
                 self.heard = trio.current_time()
                 message = messages.decode(data)
                 if message.answer:
-                    self._settle(message)
+                    self._deliver_answer(message)
                 elif message.kind != HEARTBEAT:
                     if message.call:
-                        self.used = self.heard
-                    await self._take(serve, message, nursery)
+                        self.last_call_s = self.heard
+                    await self._start_serving(serve, message, nursery)
         except messages.JunkMessage as fault:
             events.log_event(
                 events.Event.PEER_REFUSED, peer=self.peer, detail=str(fault)
@@ -166,21 +166,21 @@
         except (ws_errors.ConnectionClosed, OSError):
             pass
         code = self.socket.protocol.close_sent
-        if code is not None and code.code == TOO_BIG:
+        if code is not None and code.code == CLOSE_TOO_BIG:
             events.log_event(
                 events.Event.PEER_REFUSED,
                 peer=self.peer,
                 detail="a message over the limit",
             )
 
-    async def _take(
+    async def _start_serving(
         self, serve: Serve, message: messages.Message, nursery: trio.Nursery
     ) -> None:
         # A peer that sends faster than its messages can be served is slowed
         # down by not being read.
-        while self._served >= MAX_SERVED:
+        while self._in_service >= MAX_IN_SERVICE:
             await trio.sleep(0.01)
-        self._served += 1
+        self._in_service += 1
         nursery.start_soon(self._serve, serve, message)
 
     async def _serve(self, serve: Serve, message: messages.Message) -> None:
@@ -203,9 +203,9 @@
                 detail=supervision.describe_fault(rest),
             )
         finally:
-            self._served -= 1
+            self._in_service -= 1
 
-    def _settle(self, message: messages.Message) -> None:
+    def _deliver_answer(self, message: messages.Message) -> None:
         """Hand an answer to the call that waits for it."""
         event = self.waiting.pop(message.answer, None)
         if event is not None:
@@ -213,4 +213,4 @@
             event.set()
 
 
-TOO_BIG = 1009
+CLOSE_TOO_BIG = 1009
--- a/src/carawayward/rollout_declaration.py
+++ b/src/carawayward/rollout_declaration.py
@@ -1,4 +1,4 @@
-"""The parts of a declaration that change versions: roll-outs and pools."""
+"""Roll-outs and pools, the parts of a declaration that change versions."""
 
 import enum
 import typing
@@ -10,7 +10,7 @@
 
 
 class OnHalt(enum.StrEnum):
-    """What a halted version does with the sessions that it has.
+    """What happens to the existing sessions of a halted version.
 
     ``withdraw`` refuses them, so that no more bad answers go out;
     ``drain`` lets them finish.
@@ -25,10 +25,10 @@
     """One stage of a roll-out.
 
     ``share`` of new sessions go to the new version. The stage lasts at
-    least ``dwell_ms`` and until ``evidence`` good ratings have come since
-    the roll-out began, or in the last four hours if it began before.
+    least ``dwell_ms`` and until ``evidence`` good ratings have arrived since
+    the start of the roll-out, but at most in the last four hours.
     ``exposure_budget`` is the number of answers, for each failure domain,
-    that may be out without a good rating.
+    that may be outstanding without a good rating.
     """
 
     share: float
@@ -39,7 +39,7 @@
 
 @attrs.frozen(kw_only=True)
 class Rollout:
-    """How a model moves from one version to another.
+    """The replacement of one version of a model by another.
 
     ``tolerated_drop`` is how much worse than ``baseline`` (by default
     ``from_version``) the new version's share of good answers may be.
@@ -60,9 +60,9 @@
 class Pool:
     """A pool of engines and the versions that they should have loaded.
 
-    ``checks_fencing`` says whether its endpoints refuse an order with an
-    old fencing number. ``change_at_once`` is the largest share of the
-    pool's endpoints that may be changing at a time.
+    ``checks_fencing`` says whether its endpoints refuse orders with an
+    outdated fencing number. ``change_at_once`` is the largest share of the
+    pool's endpoints that may change versions at the same time.
     """
 
     name: str
@@ -76,7 +76,7 @@
     rollouts: list[Rollout],
     states: typing.Mapping[str, typing.Mapping[str, str]],
 ) -> None:
-    """Check all roll-outs; ``states`` are those of versions, by model."""
+    """Check all roll-outs; ``states`` are version states by model."""
     naming.check_unique_names(
         "rollouts", [rollout.name for rollout in rollouts]
     )
@@ -86,7 +86,7 @@
 
 
 def check_one_rollout_per_model(rollouts: list[Rollout]) -> None:
-    """Check that no model is rolled out twice at once."""
+    """Check that each model and version has at most one roll-out."""
     for field in ("model", "to_version"):
         seen: set[str] = set()
         for rollout in rollouts:
@@ -117,7 +117,9 @@
         )
     if rollout.from_version == rollout.to_version:
         raise errors.DeclarationError(
-            f"{prefix}.to_version", rollout.to_version, "name another version"
+            f"{prefix}.to_version",
+            rollout.to_version,
+            "name a different version",
         )
     if versions[rollout.to_version] == "active":
         raise errors.DeclarationError(
@@ -141,7 +143,7 @@
 
 
 def check_stages(prefix: str, stages: list[Stage]) -> None:
-    """Check that stages only widen and that each can be passed."""
+    """Check that shares increase and that each stage can complete."""
     if not stages:
         raise errors.DeclarationError(
             f"{prefix}.stages", [], "declare at least one stage"
--- a/src/carawayward/settings.py
+++ b/src/carawayward/settings.py
@@ -1,4 +1,4 @@
-"""One entry VM's settings, read once at start from YAML."""
+"""The settings of an entry VM, read from YAML at start."""
 
 import pathlib
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen(kw_only=True)
 class Listen:
-    """Addresses this entry VM listens on, as ``ip:port``."""
+    """Addresses that this entry VM listens on, as ``ip:port``."""
 
     callers: str
     peers: str
@@ -29,7 +29,7 @@
 
 @attrs.frozen(kw_only=True)
 class Keys:
-    """Secrets, newest first; two at a time while they are rotated."""
+    """Secrets, newest first; two of each during a rotation."""
 
     tokens: list[str]
     peers: list[str]
@@ -38,9 +38,9 @@
 
 @attrs.frozen(kw_only=True)
 class Tls:
-    """One listener's certificate and key, as paths of PEM files.
+    """Paths of a listener's certificate and key as PEM files.
 
-    With ``client_ca`` the other side must show a certificate of that CA.
+    With ``client_ca`` clients must present a certificate of that CA.
     """
 
     certificate: str
@@ -50,7 +50,7 @@
 
 @attrs.frozen(kw_only=True)
 class TlsListeners:
-    """TLS by listener; one without it speaks plain TCP."""
+    """TLS of each listener; a listener without it uses plain TCP."""
 
     callers: Tls | None = None
     peers: Tls | None = None
@@ -59,7 +59,7 @@
 
 @attrs.frozen(kw_only=True)
 class Limits:
-    """Bounds that keep one caller or one fault from using the whole VM."""
+    """Limits that keep one caller or one fault from exhausting the VM."""
 
     max_body_bytes: int = 1_000_000
     body_timeout_ms: int = 10_000
@@ -76,7 +76,7 @@
 
 @attrs.frozen(kw_only=True)
 class Stop:
-    """How a planned stop goes."""
+    """Times of a planned stop."""
 
     unready_ms: int = 1_000
     deadline_ms: int = 30_000
@@ -84,11 +84,12 @@
 
 @attrs.frozen(kw_only=True)
 class Agreed:
-    """Times that all entry VMs of a deployment have to share, in ms.
+    """Times that must be the same on all entry VMs of a deployment.
 
-    ``log_retention_ms`` is the least time for which the platform's log
-    keeps a record, ``clock_skew_ms`` bounds any two machines' clocks, and
-    ``key_window_ms`` is how old a caller's own key may be.
+    ``log_retention_ms`` is the minimum time for which the platform's log
+    keeps a record, ``clock_skew_ms`` is the maximum difference between two
+    machines' clocks, and ``key_window_ms`` is the maximum age of a caller's
+    own key.
     """
 
     log_retention_ms: int = 86_400_000
@@ -107,8 +108,8 @@
     platform: PlatformUrls
     keys: Keys
     peers: list[str] = attrs.field(factory=list)
-    # From the address that a peer gives to the one to dial, where address
-    # translation stands between them.
+    # Maps the address that a peer announces to the address to dial, for
+    # peers behind address translation.
     peer_routes: dict[str, str] = attrs.field(factory=dict)
     limits: Limits = attrs.field(factory=Limits)
     stop: Stop = attrs.field(factory=Stop)
@@ -133,7 +134,7 @@
 
 
 def read_settings_file(path: str) -> str:
-    """The text of a settings file; raise SettingsError if there is none."""
+    """Read a settings file; raise SettingsError if it is not readable."""
     try:
         return pathlib.Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as cause:
@@ -143,7 +144,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split ``ip:port``; raise ValueError when it is not one."""
+    """Split ``ip:port``; raise ValueError if it is malformed."""
     host, separator, port = address.rpartition(":")
     if not separator or not host or not port.isdecimal():
         raise ValueError(f"{address!r} is not ip:port")
@@ -153,7 +154,7 @@
 
 
 def check_settings(settings: Settings) -> None:
-    """Check what types alone cannot say."""
+    """Check what the types alone do not ensure."""
     addresses = {
         "listen.callers": settings.listen.callers,
         "listen.peers": settings.listen.peers,
@@ -161,8 +162,8 @@
     }
     addresses |= {f"peers[{i}]": a for i, a in enumerate(settings.peers)}
     addresses |= {
-        f"peer_routes[{given}]": dialled
-        for given, dialled in settings.peer_routes.items()
+        f"peer_routes[{announced}]": dialled
+        for announced, dialled in settings.peer_routes.items()
     }
     for field, address in addresses.items():
         check_address(field, address)
@@ -188,13 +189,13 @@
 
 
 def check_agreed(agreed: Agreed) -> None:
-    """Check that a key's first claim cannot have left the log."""
-    most = agreed.log_retention_ms // 4
-    if agreed.key_window_ms + 2 * agreed.clock_skew_ms > most:
+    """Check that the log keeps a key's first claim for long enough."""
+    limit_ms = agreed.log_retention_ms // 4
+    if agreed.key_window_ms + 2 * agreed.clock_skew_ms > limit_ms:
         raise errors.SettingsError(
             "agreed.key_window_ms",
             agreed.key_window_ms,
-            f"keep it, with twice the clock skew, within {most} ms, a "
+            f"keep it plus twice the clock skew within {limit_ms} ms, a "
             "quarter of agreed.log_retention_ms",
         )
 
@@ -210,7 +211,7 @@
 
 
 def check_url(field: str, url: str) -> None:
-    """Check a base URL field; an optional one may be empty."""
+    """Check a base URL; it may be empty if it is optional."""
     if url and not url.startswith(("http://", "https://")):
         raise errors.SettingsError(
             field, url, "write a URL, such as http://10.0.0.9:8100"
@@ -230,7 +231,7 @@
 
 
 def check_tls(field: str, tls: Tls | None) -> None:
-    """Check that a listener's files are there."""
+    """Check that a listener's PEM files exist."""
     if tls is None:
         return
     for name in ("certificate", "key", "client_ca"):
--- a/src/carawayward/status.py
+++ b/src/carawayward/status.py
@@ -1,4 +1,4 @@
-"""What an entry VM tells operators and their tools, as JSON."""
+"""Status of an entry VM as JSON, for operators and their tools."""
 
 import hmac
 import typing
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class StatusPages:
-    """Serves the state of one entry VM to whoever holds an operators' key."""
+    """Serves the status of an entry VM to holders of an operators' key."""
 
     board: blackboard_module.Blackboard
     metrics: metrics_module.Metrics
@@ -27,7 +27,7 @@
     collect_gauges: typing.Callable[[], dict[str, float]]
 
     def make_routes(self) -> list[routing.Route]:
-        """Routes for the operators' listener."""
+        """Create the routes for the operators' listener."""
         return [
             routing.Route("/v1/status", self.show_status),
             routing.Route("/v1/histograms", self.show_histograms),
@@ -36,7 +36,7 @@
     async def show_status(
         self, request: http_requests.Request
     ) -> responses.Response:
-        """The state of this entry VM and what it knows of the others."""
+        """Respond with the state of this entry VM and its view of others."""
         check_operator(request, self.keys)
         return responses.JSONResponse(
             {
@@ -49,7 +49,7 @@
     async def show_histograms(
         self, request: http_requests.Request
     ) -> responses.Response:
-        """All histograms, encoded, so that a tool can add them up."""
+        """Respond with all histograms; tools merge their encoded form."""
         check_operator(request, self.keys)
         return responses.JSONResponse(metrics_module.summarize(self.metrics))
 
@@ -57,7 +57,7 @@
 def check_operator(
     request: http_requests.Request, keys: tuple[str, ...]
 ) -> None:
-    """Raise NotAuthenticated unless the request bears an operators' key."""
+    """Raise NotAuthenticated unless the request has an operators' key."""
     given = request.headers.get("Authorization", "")
     for key in keys:
         if hmac.compare_digest(given.encode(), f"Bearer {key}".encode()):
@@ -70,7 +70,7 @@
 def describe_board(
     board: blackboard_module.Blackboard, now_ms: float
 ) -> dict[str, typing.Any]:
-    """The blackboard as plain values; ages are in milliseconds."""
+    """Convert the blackboard to plain values; ages are in ms."""
     config = board.config
     return {
         "name": board.name,
--- a/src/carawayward/stopping.py
+++ b/src/carawayward/stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop, which cuts off no request."""
+"""A planned stop, which lets open requests finish."""
 
 import os
 import threading
@@ -13,23 +13,23 @@
 from carawayward import settings as settings_module
 from carawayward import supervision
 
-POLL_MS = 20.0
+POLL_INTERVAL_MS = 20.0
 CUT_EXIT_CODE = 1
 FORCED_EXIT_DELAY_S = 2.0
 
 
 class Closable(typing.Protocol):
-    """What is closed at the end of a stop."""
+    """A component that is closed at the end of a stop."""
 
     async def close(self) -> None:
-        """Finish what must not be lost."""
+        """Complete or hand over work that must not be lost."""
 
 
 @attrs.define
 class PlannedStop:
-    """The steps of leaving; ``stage`` names the one that is under way.
+    """The steps of a planned stop; ``stage`` names the current one.
 
-    ``count_open`` counts requests whose last byte is not yet written.
+    ``count_open`` counts requests whose response is not completely written.
     """
 
     settings: settings_module.Settings
@@ -42,11 +42,12 @@
     cut: bool = False
 
     async def run(self, signals: typing.AsyncIterator[int]) -> None:
-        """Leave; a second signal or the deadline ends it where it stands.
+        """Stop; a second signal or the deadline cuts the stop short.
 
-        Readiness goes first and the balancer is waited out: a request that
-        it still sends gets an answer ("not run, leaving"), not a closed
-        port. Then what runs is let finish, then the listeners close.
+        First the VM reports that it is not ready, and waits until the load
+        balancer has removed it: a request that still arrives is answered
+        ("not run, leaving") instead of meeting a closed port. Then running
+        requests finish, and then the listeners close.
         """
         self.board.state = blackboard_module.NodeState.LEAVING
         events.log_event(
@@ -66,7 +67,7 @@
                     scope.cancel()
 
                 nursery.start_soon(end_on_signal)
-                await self._leave()
+                await self._run_stages()
                 nursery.cancel_scope.cancel()
         if self.stage == "left":
             return
@@ -80,20 +81,20 @@
         )
         self.stop_serving.set()
 
-    async def _leave(self) -> None:
-        self.stage = "waiting out the balancer"
+    async def _run_stages(self) -> None:
+        self.stage = "waiting for the load balancer"
         await self.clock.sleep(self.settings.stop.unready_ms)
         self.stage = "finishing requests"
         while self.board.running or self.count_open():
-            await self.clock.sleep(POLL_MS)
+            await self.clock.sleep(POLL_INTERVAL_MS)
         self.stop_serving.set()
         for controller in reversed(self.controllers):
             self.stage = f"closing {type(controller).__name__}"
             try:
                 await controller.close()
             except Exception as fault:
-                # One that fails must not keep the others from handing over
-                # what they hold.
+                # A failing controller must not keep the others from handing
+                # over their state.
                 events.log_event(
                     events.Event.FAULT,
                     task=self.stage,
@@ -103,10 +104,10 @@
 
 
 def force_exit_later() -> None:
-    """End the process if a stop that was cut short does not end by itself.
+    """End the process soon if a stop that was cut short does not end it.
 
-    The HTTP library shields its writes from cancellation, so that one
-    caller who takes no data could hold the process until TCP gives up.
+    The HTTP library shields its writes from cancellation, so a caller who
+    accepts no data could keep the process alive until TCP times out.
     """
     timer = threading.Timer(FORCED_EXIT_DELAY_S, os._exit, (CUT_EXIT_CODE,))
     timer.daemon = True
--- a/src/carawayward/supervision.py
+++ b/src/carawayward/supervision.py
@@ -1,4 +1,4 @@
-"""Keeps the daemon's tasks going when one of them meets a fault."""
+"""Isolates the daemon's tasks from each other's exceptions."""
 
 import typing
 
@@ -14,14 +14,14 @@
 
 @attrs.define
 class Supervisor:
-    """Stands in for a nursery; no task's fault ends its other tasks.
+    """A nursery in which an exception of one task does not end the others.
 
-    In a plain nursery an exception that nobody expected, in any one task,
-    would end the whole daemon and with it every request that it serves.
+    In a plain nursery an unexpected exception in any task would end the
+    whole daemon and with it all requests that it serves.
 
-    Only tasks that begin while ``restarting`` is set are started again:
-    these are the controllers' loops. A task that begins later does one
-    thing once, such as a call that may not be repeated.
+    Only tasks that are started while ``restarting`` is set are restarted:
+    these are the controllers' loops. Tasks started later run only once, for
+    example a call that must not be repeated.
     """
 
     nursery: trio.Nursery
@@ -34,9 +34,9 @@
         name: object = None,
     ) -> None:
         """Start a task."""
-        contain = run_with_restarts if self.restarting else run_once
+        run = run_with_restarts if self.restarting else run_once
         self.nursery.start_soon(
-            contain, function, arguments, name=name or function
+            run, function, arguments, name=name or function
         )
 
     async def start(
@@ -47,25 +47,25 @@
     ) -> typing.Any:
         """Start a task and wait until it reports that it has started.
 
-        A task that never started ends the daemon: an address that is taken
-        must be seen at once.
+        A task that fails to start ends the daemon, so that an address in
+        use is noticed at once.
         """
         return await self.nursery.start(function, *arguments, name=name)
 
     @property
     def cancel_scope(self) -> trio.CancelScope:
-        """Ends all tasks."""
+        """The scope that cancels all tasks."""
         return self.nursery.cancel_scope
 
 
 async def run_with_restarts(function: Task, arguments: tuple) -> None:
-    """Run a task, and again whenever it meets a fault."""
+    """Run a task and restart it whenever it raises an exception."""
     while not await run_once(function, arguments):
         await trio.sleep(RESTART_DELAY_S)
 
 
 async def run_once(function: Task, arguments: tuple) -> bool:
-    """Run a task; whether it came to its end without a fault."""
+    """Run a task; return whether it ended without an exception."""
     try:
         await function(*arguments)
         return True
@@ -84,7 +84,7 @@
 def split_cancelled(
     fault: BaseException,
 ) -> tuple[BaseException | None, BaseException | None]:
-    """Split an exception into cancellations and all else."""
+    """Split an exception into cancellations and everything else."""
     if isinstance(fault, BaseExceptionGroup):
         return fault.split(trio.Cancelled)
     if isinstance(fault, trio.Cancelled):
@@ -93,9 +93,9 @@
 
 
 def describe_fault(fault: BaseException) -> str:
-    """Where an exception came from, without its text.
+    """Describe an exception by its type and origin, without its message.
 
-    The text of an exception may quote what a caller sent.
+    The message may quote data that a caller sent.
     """
     if isinstance(fault, BaseExceptionGroup):
         return "; ".join(describe_fault(each) for each in fault.exceptions)
