--- a/src/carawayward/peers/dialling.py
+++ b/src/carawayward/peers/dialling.py
@@ -1,4 +1,4 @@
-"""Keeps links to the peers that the topology chooses, and to few others."""
+"""Maintains links to the peers that the topology chooses, and to seeds."""
 
 import random
 import typing
@@ -16,18 +16,18 @@
     from carawayward.peers import hub as hub_module
 
 LINK_CHECK_INTERVAL_S = 0.5
-# A peer that did not answer is left out of the choice for so long, so that
-# another one takes its place and a dead address costs little.
+# How long a peer that could not be dialled is excluded from the choice, so
+# that another one takes its place and a dead address costs little.
 FAILED_DIAL_BACKOFF_S = 10.0
-# Of two peers that choose each other, the one with the smaller address
-# dials at once and the other one after this, so that one link comes about.
+# Of two peers that choose each other, the one with the smaller address dials
+# at once and the other after this delay, so that they make only one link.
 LARGER_ADDRESS_DELAY_S = 1.0
-# A link that this side made and no longer chooses ends after this long
+# How long a link that this side has dialled and no longer chooses stays open
 # without a call.
 UNUSED_LINK_TIMEOUT_S = 20.0
-# Now and then a link to a seed is made though none is chosen: two parts of
-# a deployment that have forgotten each other in a long partition meet
-# again through it.
+# How often a seed is dialled although it is not chosen. After a long partition
+# the two parts of a deployment no longer know each other's members; a common
+# seed reconnects them.
 SEED_LINK_INTERVAL_S = 30.0
 MAX_DIALS = 8
 
@@ -48,18 +48,19 @@
 
 @attrs.define(eq=False)
 class Dialler:
-    """Dials peers; ``avoided`` says until when an address is left out.
-
-    ``dialling`` holds the dials that have led to no link yet: a new dial
-    must not join the task of a link that was there and has closed.
-    ``routes`` leads from the address that a peer gives to the one under
-    which this entry VM reaches it, where they differ: where the settings
-    say so, or a seed turned out to be that peer.
+    """Dials peers and closes links that are no longer needed.
+
+    ``backing_off`` says until when an address is not dialled again.
+    ``pending_dials`` holds only dials that have not made a link yet: a new
+    dial must not wait for the task of a link that has closed since.
+    ``routes`` maps the address that a peer announces to the address to
+    dial, if they differ: the settings say so, or the peer was reached
+    through the address of a seed.
     """
 
     hub: "hub_module.PeerHub"
     choose_peers: Choose
-    dialling: dict[str, trio.Event] = attrs.field(factory=dict)
+    pending_dials: dict[str, trio.Event] = attrs.field(factory=dict)
     backing_off: dict[str, float] = attrs.field(factory=dict)
     wanted_since: dict[str, float] = attrs.field(factory=dict)
     routes: dict[str, str] = attrs.field(factory=dict)
@@ -67,19 +68,22 @@
     _nursery: trio.Nursery | None = None
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begin to keep links."""
+        """Start maintaining links."""
         self._nursery = nursery
         self.routes.update(self.hub.settings.peer_routes)
         nursery.start_soon(self._keep_links)
 
     def record_link_up(self, dialled: str, given: str) -> None:
-        """Note that a peer answered a dial, and which address it gave."""
+        """Record that a dial has made a link, and the announced address."""
         if dialled in self.hub.settings.peers:
             self.routes[given] = dialled
-        self.dialling.pop(dialled).set()
+        self.pending_dials.pop(dialled).set()
 
     def has_tried_seeds(self) -> bool:
-        """Whether each seed is linked or has just failed to answer."""
+        """Whether each seed is linked or has just failed to respond.
+
+        In a large deployment any one link is enough.
+        """
         seeds = set(self.hub.settings.peers)
         seeds.discard(self.hub.settings.listen.peers)
         linked = self._list_linked_addresses()
@@ -88,20 +92,20 @@
         return seeds <= linked | set(self.backing_off)
 
     async def dial_now(self, address: str, peer: str) -> None:
-        """Dial an address, or join the dial that is under way.
+        """Dial an address, or wait for the dial in progress.
 
-        Returns once a link is there or the attempt is over.
+        Returns when the peer is linked or the dial has failed.
         """
         address = self.routes.get(address, address)
-        if address not in self.dialling:
+        if address not in self.pending_dials:
             self._start_dial(address)
-        done = self.dialling[address]
+        done = self.pending_dials[address]
         while peer not in self.hub.links and not done.is_set():
             await trio.sleep(0.005)
 
     def _start_dial(self, address: str) -> None:
         assert self._nursery is not None
-        done = self.dialling[address] = trio.Event()
+        done = self.pending_dials[address] = trio.Event()
         self._nursery.start_soon(self._dial, address, done)
 
     async def _dial(self, address: str, done: trio.Event) -> None:
@@ -118,8 +122,8 @@
                 detail = supervision.describe_fault(rest)
                 events.log_event(events.Event.FAULT, detail=detail)
         finally:
-            if self.dialling.get(address) is done:
-                self.dialling.pop(address).set()
+            if self.pending_dials.get(address) is done:
+                self.pending_dials.pop(address).set()
 
     async def _keep_links(self) -> None:
         while True:
@@ -127,7 +131,7 @@
             self._drop_expired_backoffs(now)
             self._close_unneeded_links(now)
             for address in self._list_addresses_to_dial(now):
-                if len(self.dialling) >= MAX_DIALS:
+                if len(self.pending_dials) >= MAX_DIALS:
                     break
                 self._start_dial(address)
             await trio.sleep(LINK_CHECK_INTERVAL_S * random.uniform(0.8, 1.2))
@@ -138,7 +142,7 @@
         }
 
     def choose(self) -> frozenset[str]:
-        """Names of the peers that links are kept to."""
+        """Choose the names of the peers to keep links to."""
         board = self.hub.board
         return self.choose_peers(
             topology.Member(board.name, board.failure_domain),
@@ -152,12 +156,12 @@
         )
 
     def _list_linked_addresses(self) -> set[str]:
-        """Addresses under which linked peers are reached."""
+        """Addresses at which linked peers are dialled."""
         given = [link.identity.address for link in self.hub.links.values()]
         return {self.routes.get(each, each) for each in given}
 
     def _list_addresses_to_dial(self, now: float) -> list[str]:
-        """Addresses to dial in this round."""
+        """List the addresses to dial now."""
         hub = self.hub
         known = hub.board.entry_vms
         given = [known[name].address for name in self.choose()]
@@ -168,7 +172,8 @@
         open_addresses = {
             address
             for address in addresses - linked - {here}
-            if address not in self.dialling and address not in self.backing_off
+            if address not in self.pending_dials
+            and address not in self.backing_off
         }
         self.wanted_since = {
             address: self.wanted_since.get(address, now)
@@ -181,7 +186,7 @@
         )
 
     def _list_seeds_to_link(self, now: float) -> list[str]:
-        """Seeds to link to, though their names may not be known yet."""
+        """List the seeds to link to, whose names may not be known yet."""
         hub = self.hub
         seeds = hub.settings.peers
         members = max(len(hub.board.entry_vms) + 1, len(seeds))
@@ -198,7 +203,7 @@
         return []
 
     def _close_unneeded_links(self, now: float) -> None:
-        """Close own links that are neither chosen nor used."""
+        """Close dialled links that are neither chosen nor used."""
         chosen = self.choose()
         seeds = set(self.hub.settings.peers)
         small = len(seeds) <= topology.FULL_MESH_MOST
@@ -212,7 +217,7 @@
 
 
 def is_dial_failure(fault: BaseException) -> bool:
-    """Whether this is how a peer that cannot be reached shows itself."""
+    """Whether the exception is expected of an unreachable peer."""
     if isinstance(fault, BaseExceptionGroup):
         return all(is_dial_failure(each) for each in fault.exceptions)
     return isinstance(fault, DIAL_FAILURES)
--- a/src/carawayward/peers/hub.py
+++ b/src/carawayward/peers/hub.py
@@ -1,4 +1,4 @@
-"""The links of this entry VM: who is linked, and what answers messages."""
+"""The links of this entry VM to its peers, and the message handlers."""
 
 import functools
 import logging
@@ -26,12 +26,12 @@
 HANDSHAKE_TIMEOUT_S = 3.0
 DIAL_TIMEOUT_MS = 3_000.0
 CLOSE_TIMEOUT_S = 0.5
-# The longest message is a whole configuration document.
+# The longest messages carry a whole configuration document.
 MAX_MESSAGE_BYTES = 4_000_000
-# Connections whose other side has not proved who it is yet. Junk on the
-# port can hold no more than these, and each for HANDSHAKE_S only.
+# Connections that are not authenticated yet. Strangers who connect to the port
+# can occupy no more than these, each for at most HANDSHAKE_TIMEOUT_S.
 MAX_UNAUTHENTICATED = 32
-# A link that another one has replaced may still carry answers for a while.
+# How long a replaced link stays open, since it may still carry answers.
 REPLACED_LINK_GRACE_S = 2.0
 UNKNOWN_PEER_POLL_S = 0.05
 
@@ -41,11 +41,11 @@
 
 @attrs.define(eq=False)
 class PeerHub:
-    """All links of this entry VM, and what handles each message kind.
+    """All links of this entry VM, and a handler for each message kind.
 
-    ``links`` holds open links only. One that closes leaves it at that
-    moment; its task may take CLOSE_S to end, and a call meanwhile would
-    get "link lost" instead of a new link.
+    ``links`` holds open links only. A link is removed at the moment when it
+    closes: its task may take CLOSE_TIMEOUT_S to end, and a call during that
+    time would fail with "link lost" instead of dialling anew.
     """
 
     settings: settings_module.Settings
@@ -63,15 +63,15 @@
         self._dialler = dialling.Dialler(self, self.choose_peers)
 
     def handle(self, kind: str, handler: Handler) -> None:
-        """Register what answers messages of ``kind``."""
+        """Register the handler of messages of ``kind``."""
         self.handlers[kind] = handler
 
     def add_link_callback(self, callback: LinkCallback) -> None:
-        """Register what is called with the name of each new link's peer."""
+        """Register a callback that gets the peer's name of each new link."""
         self._link_callbacks.append(callback)
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Listen for peers, and keep links to those that are chosen."""
+        """Start listening for peers and maintaining links to them."""
         self._nursery = nursery
         tls = self.settings.tls.peers
         host, port = settings_module.split_address(self.settings.listen.peers)
@@ -91,7 +91,7 @@
         self._dialler.start(nursery)
 
     async def close(self) -> None:
-        """Close all links, after what is queued has had a moment to go."""
+        """Close all links after a short time for sending queued messages."""
         if self.links:
             await trio.sleep(CLOSE_TIMEOUT_S)
         for link in list(self.links.values()):
@@ -100,10 +100,10 @@
     async def call(
         self, peer: str, kind: str, body: object, timeout_ms: float
     ) -> typing.Any:
-        """Call a peer and return its answer; dial it if need be.
+        """Call a peer and return its answer; dial it if necessary.
 
-        Raises PeerUnavailable without a link or an answer in time; the
-        call may then have been carried out.
+        Raises PeerUnavailable if there is no link or no answer in time; the
+        peer may then still have processed the call.
         """
         began_ms = self.clock.now_ms()
         link = self.links.get(peer)
@@ -115,14 +115,14 @@
     async def get_link(
         self, peer: str, timeout_ms: float = DIAL_TIMEOUT_MS
     ) -> link_module.Link:
-        """The link to a named peer, made now if there is none.
+        """Return the link to a peer; dial it if there is none.
 
-        Raises PeerUnavailable when the peer's address does not become
-        known in time or it does not answer there.
+        Raises PeerUnavailable if the peer's address does not become known
+        in time or the peer cannot be dialled.
         """
         with trio.move_on_after(min(timeout_ms, DIAL_TIMEOUT_MS) / 1000):
-            # A claim or a ticket may name a peer that started a moment ago
-            # and of which only the log or the caller has told so far.
+            # A claim or a ticket may name a peer that has just started and
+            # has not been announced to this entry VM yet.
             while peer not in self.links:
                 known = self.board.entry_vms.get(peer)
                 if known is not None:
@@ -131,19 +131,19 @@
                 await trio.sleep(UNKNOWN_PEER_POLL_S)
         link = self.links.get(peer)
         if link is None:
-            raise errors.PeerUnavailable(f"peer {peer}: no link")
+            raise errors.PeerUnavailable(f"peer {peer}: no link could be made")
         return link
 
     def has_tried_seeds(self) -> bool:
-        """Whether each seed is linked or has just failed to answer."""
+        """Whether each seed is linked or has just failed to respond."""
         return self._dialler.has_tried_seeds()
 
     def choose_link_targets(self) -> frozenset[str]:
-        """Names of the peers that this entry VM keeps links to."""
+        """Choose the names of the peers to keep links to."""
         return self._dialler.choose()
 
     async def notify(self, peer: str, kind: str, body: object) -> None:
-        """Send a message that wants no answer; a lost one is not noticed."""
+        """Send a message without an answer; its loss is not noticed."""
         link = self.links.get(peer)
         if link is not None:
             try:
@@ -152,13 +152,13 @@
                 return
 
     async def notify_all(self, kind: str, body: object) -> None:
-        """Send a message to every linked peer."""
+        """Notify every linked peer."""
         for peer in list(self.links):
             await self.notify(peer, kind, body)
 
     async def _accept(self, socket: ws_server.ServerConnection) -> None:
         if self._unauthenticated >= MAX_UNAUTHENTICATED:
-            self._log_refusal("too many connections without proof")
+            self._log_refusal("too many unauthenticated connections")
             return
         self._unauthenticated += 1
         try:
@@ -168,7 +168,7 @@
             self._log_refusal(str(fault))
             return
         except (trio.TooSlowError, websockets.ConnectionClosed, OSError):
-            self._log_refusal("no proof in time")
+            self._log_refusal("not authenticated in time")
             return
         finally:
             self._unauthenticated -= 1
@@ -177,7 +177,7 @@
     async def _authenticate_dialler(
         self, socket: typing.Any
     ) -> handshake.Identity:
-        """Challenge whoever connected, then prove who we are."""
+        """Authenticate the dialler, then prove our own identity."""
         keys = self.settings.keys.peers
         challenge = secrets.token_bytes(handshake.NONCE_BYTES)
         await socket.send(challenge)
@@ -191,10 +191,10 @@
         return proof.identity
 
     async def dial(self, address: str) -> None:
-        """Connect to an address and carry messages until the link ends.
+        """Connect to an address and run the link until it ends.
 
-        Raises one of dialling.FAILURES, alone or in a group, when no link
-        comes about.
+        Raises one of dialling.DIAL_FAILURES, alone or in a group, if no
+        link is made.
         """
         tls = self.settings.tls.peers
         scheme = "wss" if tls else "ws"
@@ -213,7 +213,7 @@
     async def _authenticate_listener(
         self, socket: typing.Any
     ) -> handshake.Identity:
-        """Answer the challenge, then check who answered ours."""
+        """Prove our own identity, then authenticate the listener."""
         keys = self.settings.keys.peers
         challenge = await socket.recv()
         if not isinstance(challenge, bytes):
@@ -229,13 +229,13 @@
         )
         if proof.nonce != challenge:
             raise errors.NotAuthenticated(
-                "the peer answered another challenge"
+                "the peer responded to a different challenge"
             )
         return proof.identity
 
     @property
     def identity(self) -> handshake.Identity:
-        """What this entry VM says of itself."""
+        """The identity that this entry VM presents to peers."""
         return handshake.Identity(
             self.board.name,
             self.board.incarnation,
@@ -270,7 +270,7 @@
             events.log_event(events.Event.PEER_DOWN, peer=link.peer)
 
     def _record_member(self, identity: handshake.Identity) -> None:
-        """Take what a peer has proved of itself."""
+        """Record a linked peer as a member by its authenticated identity."""
         members = self.board.entry_vms
         known = members.get(identity.name)
         same = known is not None and known.incarnation == identity.incarnation
@@ -299,30 +299,31 @@
 
 
 async def close_after_grace(link: link_module.Link) -> None:
-    """Close a replaced link once its last answers have had time to come."""
+    """Close a replaced link after leaving time for its last answers."""
     await trio.sleep(REPLACED_LINK_GRACE_S)
     link.close()
 
 
 class PeerConnection(ws_server.ServerConnection):
-    """An accepted connection, which leaves an event if it is no peer's.
+    """An accepted connection that logs a failed opening handshake.
 
-    Bytes that are no WebSocket handshake never reach the hub.
+    The hub is called only after the WebSocket handshake.
     """
 
     async def handshake(self, *arguments: typing.Any) -> None:
-        """Take the opening handshake."""
+        """Run the opening handshake."""
         try:
             await super().handshake(*arguments)
         finally:
             if self.protocol.state is not websockets.State.OPEN:
                 events.log_event(
-                    events.Event.PEER_REFUSED, detail="no opening handshake"
+                    events.Event.PEER_REFUSED,
+                    detail="WebSocket handshake failed",
                 )
 
 
 def make_logger() -> logging.Logger:
-    """The library's logger, silenced: it would write down what it got."""
+    """Create a silent logger; the library would log received data."""
     logger = logging.getLogger("carawayward.peers.listener")
     logger.propagate = False
     logger.setLevel(logging.CRITICAL)
--- a/src/carawayward/peers/link.py
+++ b/src/carawayward/peers/link.py
@@ -1,4 +1,4 @@
-"""One live connection between two entry VMs."""
+"""An open connection between two entry VMs."""
 
 import contextlib
 import itertools
@@ -24,9 +24,9 @@
 HEARTBEAT_INTERVAL_S = 2.0
 SILENCE_TIMEOUT_S = 7.0
 HEARTBEAT = "link.alive"
-# Messages that wait to be written. A peer that reads too slowly for this
-# loses messages, which all of them can bear: calls time out, and what is
-# told is told again.
+# Messages that wait to be written. A peer that reads too slowly loses messages
+# beyond these. All kinds of messages tolerate that: calls time out, and
+# notifications are repeated.
 MAX_QUEUED = 512
 MAX_IN_SERVICE = 256
 
@@ -37,11 +37,12 @@
 
 @attrs.define(eq=False)
 class Link:
-    """A connection whose peer has proved who it is.
+    """A connection to an authenticated peer.
 
-    ``dialled`` says that this side made it. ``used`` is when it last
-    carried a call, on trio's clock. ``on_close`` is called once, at the
-    moment of closing: the task that carries the messages ends later.
+    ``dialled`` is set on the side that dialled. ``heard`` is when the last
+    message arrived and ``last_call_s`` when the last call was made, both on
+    trio's clock. ``on_close`` is called once, at the moment of closing; the
+    task that runs the link ends later.
     """
 
     identity: handshake.Identity
@@ -79,20 +80,20 @@
         return self.identity.incarnation
 
     def send(self, message: messages.Message) -> None:
-        """Queue one message, or raise PeerUnavailable."""
+        """Queue one message or raise PeerUnavailable."""
         if self.closed:
             raise errors.PeerUnavailable(f"peer {self.peer}: link lost")
         try:
             self._outgoing.send_nowait(message)
         except trio.WouldBlock:
             raise errors.PeerUnavailable(
-                f"peer {self.peer}: it reads too slowly"
+                f"peer {self.peer}: it reads too slowly, send queue full"
             ) from None
 
     async def call(
         self, kind: str, body: object, timeout_ms: float
     ) -> typing.Any:
-        """Send a call and return its answer, or raise PeerUnavailable."""
+        """Send a call and return its answer or raise PeerUnavailable."""
         number = next(self._numbers)
         event = self.waiting[number] = trio.Event()
         self.last_call_s = trio.current_time()
@@ -111,7 +112,7 @@
         return self.answers.pop(number)
 
     def close(self) -> None:
-        """End the link and wake every call that waits on it."""
+        """Close the link and wake all calls that wait for an answer."""
         if not self.closed:
             self.closed = True
             self.on_close(self)
@@ -121,7 +122,7 @@
         self.waiting.clear()
 
     async def run(self, serve: Serve) -> None:
-        """Carry messages until either side closes or goes silent."""
+        """Exchange messages until either side closes or goes silent."""
         try:
             with self._scope:
                 async with trio.open_nursery() as nursery:
@@ -131,8 +132,8 @@
                     nursery.cancel_scope.cancel()
         finally:
             self.close()
-            # A closing handshake needs a peer that answers; one that went
-            # silent must not hold the connection open.
+            # A closing handshake would wait for the peer, and a silent peer
+            # must not keep the connection open.
             await trio.aclose_forcefully(self.socket.stream)
 
     async def _write(self) -> None:
@@ -170,14 +171,14 @@
             events.log_event(
                 events.Event.PEER_REFUSED,
                 peer=self.peer,
-                detail="a message over the limit",
+                detail="message exceeds the size limit",
             )
 
     async def _start_serving(
         self, serve: Serve, message: messages.Message, nursery: trio.Nursery
     ) -> None:
-        # A peer that sends faster than its messages can be served is slowed
-        # down by not being read.
+        # Back-pressure: do not read from a peer that sends faster than its
+        # messages can be handled.
         while self._in_service >= MAX_IN_SERVICE:
             await trio.sleep(0.01)
         self._in_service += 1
@@ -191,8 +192,9 @@
                 with contextlib.suppress(errors.PeerUnavailable):
                     self.send(reply)
         except (Exception, BaseExceptionGroup) as fault:
-            # A peer of another release, or a damaged one, must not end the
-            # link for all other messages. Its call times out.
+            # A message that cannot be handled, such as one from a peer of
+            # another release or a faulty one, must not end the link for
+            # other messages. If it is a call, it times out.
             _, rest = supervision.split_cancelled(fault)
             if rest is None:
                 raise
@@ -206,7 +208,7 @@
             self._in_service -= 1
 
     def _deliver_answer(self, message: messages.Message) -> None:
-        """Hand an answer to the call that waits for it."""
+        """Pass an answer to the call that waits for it."""
         event = self.waiting.pop(message.answer, None)
         if event is not None:
             self.answers[message.answer] = message.body
--- a/src/carawayward/peers/messages.py
+++ b/src/carawayward/peers/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entry VMs: CBOR maps with a kind, checked on arrival."""
+"""Messages between entry VMs, encoded as CBOR arrays."""
 
 import typing
 
@@ -7,15 +7,16 @@
 
 
 class JunkMessage(ValueError):
-    """Bytes on a peer link that are no message of this protocol."""
+    """Data on a peer link that is not a message of this protocol."""
 
 
 @attrs.frozen
 class Message:
     """One message.
 
-    ``call`` numbers a call that wants an answer; ``answer`` numbers the
-    call that this message answers. Both are 0 for a plain message.
+    ``call`` is the number of a call that expects an answer; ``answer`` is
+    the number of the call that this message answers. Both are 0 for a
+    notification.
     """
 
     kind: str
@@ -25,16 +26,16 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the message's bytes."""
+    """Encode a message."""
     return cbor2.dumps(
         [message.kind, message.body, message.call, message.answer]
     )
 
 
 def decode(data: bytes | str) -> Message:
-    """Read a message; raise JunkMessage for anything else."""
+    """Decode a message; raise JunkMessage if it is malformed."""
     if isinstance(data, str):
-        raise JunkMessage("a text frame")
+        raise JunkMessage("unexpected text frame")
     try:
         parts = cbor2.loads(data)
     except (cbor2.CBORDecodeError, ValueError, RecursionError) as cause:
@@ -42,4 +43,4 @@
     match parts:
         case [str() as kind, body, int() as call, int() as answer]:
             return Message(kind, body, call, answer)
-    raise JunkMessage("not a message")
+    raise JunkMessage("not an array of kind, body, call and answer")
--- a/src/carawayward/services/__init__.py
+++ b/src/carawayward/services/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of services that the product calls besides endpoints."""
+"""Clients of the platform's services."""
--- a/src/carawayward/services/log.py
+++ b/src/carawayward/services/log.py
@@ -7,13 +7,13 @@
 from carawayward import errors
 from carawayward import http_client as http
 
-# Long polls end well before a middlebox would drop an idle connection.
+# Ends well before a middlebox would drop an idle connection.
 LONG_POLL_MS = 10_000
 
 
 @attrs.frozen
 class LogRecord:
-    """One record and its place in its stream."""
+    """One record of a stream, with its offset and time."""
 
     offset: int
     at_ms: int
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class Batch:
-    """Records read, where to go on, and the oldest kept offset."""
+    """Records read, the offset to continue from and the oldest one kept."""
 
     records: list[LogRecord]
     next_offset: int
@@ -31,19 +31,19 @@
 
 @attrs.define
 class LogClient:
-    """Appends to and reads from named streams; offsets begin at 1."""
+    """Appends to and reads from named streams; offsets start at 1."""
 
     client: http.PlatformClient
 
     @classmethod
     def from_config(cls, base_url: str, caller: str = "") -> "LogClient":
-        """Make a client for the log at ``base_url``."""
+        """Create a client of the log at ``base_url``."""
         return cls(http.PlatformClient("log", base_url, caller=caller))
 
     async def append(
         self, stream: str, records: list, timeout_ms: float = 5_000
     ) -> int:
-        """Append records in order; return the first one's offset.
+        """Append records in order; return the offset of the first.
 
         On PlatformUnavailable with ``sent`` True the append may have
         taken effect.
@@ -61,7 +61,7 @@
     async def read(
         self, stream: str, offset: int, wait_ms: int = 0, limit: int = 500
     ) -> Batch:
-        """Read records from ``offset``; wait up to ``wait_ms`` for some."""
+        """Read records from ``offset``; wait up to ``wait_ms`` for one."""
         path = (
             f"/streams/{stream}/records?from={offset}"
             f"&limit={limit}&wait_ms={wait_ms}"
--- a/src/carawayward/services/ratings.py
+++ b/src/carawayward/services/ratings.py
@@ -1,4 +1,4 @@
-"""Client of the service that rates answers; ratings come minutes late."""
+"""Client of the service that rates answers, with minutes of delay."""
 
 import attrs
 
@@ -16,17 +16,17 @@
 
 @attrs.define
 class RatingsClient:
-    """Sends answers and collects their ratings by mailbox and offset."""
+    """Sends answers, and reads their ratings from a mailbox by offset."""
 
     client: http.PlatformClient
 
     @classmethod
     def from_config(cls, base_url: str) -> "RatingsClient":
-        """Make a client for the service at ``base_url``."""
+        """Create a client of the service at ``base_url``."""
         return cls(http.PlatformClient("ratings", base_url))
 
     async def send(self, mailbox: str, answers: list[dict]) -> None:
-        """Hand over answers; sending one twice has no further effect."""
+        """Send answers to be rated; sending one again has no effect."""
         body = {"mailbox": mailbox, "answers": answers}
         reply = await self.client.call("POST", "/answers", body)
         if reply.status != 200:
@@ -37,7 +37,7 @@
     async def collect(
         self, mailbox: str, offset: int
     ) -> tuple[list[Rating], int]:
-        """Ratings from ``offset`` on, and where to go on."""
+        """Read ratings from ``offset`` on; return the next offset too."""
         path = f"/ratings?mailbox={mailbox}&from={offset}"
         reply = await self.client.call("GET", path)
         try:
--- a/src/carawayward/services/vms.py
+++ b/src/carawayward/services/vms.py
@@ -1,4 +1,4 @@
-"""Client of the platform's lagging list of VMs."""
+"""Client of the platform's list of VMs, which lags behind."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 
 @attrs.frozen(kw_only=True)
 class ListedVm:
-    """One line of the list; ``role`` is "entry" or "endpoint"."""
+    """One entry of the list; ``role`` is "entry" or "endpoint"."""
 
     name: str
     role: str
@@ -20,13 +20,13 @@
 
 @attrs.define
 class VmList:
-    """Reads the list; it lags, so absence and presence are only hints."""
+    """Reads the list; it lags, so presence and absence are only hints."""
 
     client: http.PlatformClient
 
     @classmethod
     def from_config(cls, base_url: str) -> "VmList":
-        """Make a client for the list at ``base_url``."""
+        """Create a client of the list at ``base_url``."""
         return cls(http.PlatformClient("vm list", base_url))
 
     async def fetch(self) -> list[ListedVm]:
--- a/src/carawayward/services/weights.py
+++ b/src/carawayward/services/weights.py
@@ -1,4 +1,4 @@
-"""Client of the rate-limited weight store."""
+"""Client of the store of model weights, which limits parallel loads."""
 
 import attrs
 
@@ -8,17 +8,17 @@
 
 @attrs.define
 class WeightStore:
-    """Asks how many loads may run at once; endpoints load by themselves."""
+    """Reads the limit on parallel loads; the endpoints do the loading."""
 
     client: http.PlatformClient
 
     @classmethod
     def from_config(cls, base_url: str) -> "WeightStore":
-        """Make a client for the store at ``base_url``."""
+        """Create a client of the store at ``base_url``."""
         return cls(http.PlatformClient("weights", base_url))
 
     async def fetch_limit(self) -> int:
-        """Loads that the store serves at a time."""
+        """Return how many loads the store serves at the same time."""
         reply = await self.client.call("GET", "/limit")
         try:
             return int(reply.body["loads_at_once"])
--- a/tests/common/certificates.py
+++ b/tests/common/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates for tests, made when they are needed."""
+"""Creates certificates for tests."""
 
 import datetime
 import ipaddress
@@ -16,7 +16,7 @@
 
 @attrs.define
 class Authority:
-    """A certificate authority that writes PEM files into a folder."""
+    """A certificate authority that writes PEM files to a folder."""
 
     folder: pathlib.Path
     name: str
@@ -30,11 +30,11 @@
 
     @property
     def certificate(self) -> str:
-        """Path of the authority's own certificate."""
+        """The path of the authority's own certificate."""
         return str(self.folder / f"{self.name}-ca.pem")
 
     def issue(self, name: str) -> dict[str, str]:
-        """A certificate for 127.0.0.1 and its key, as settings name them."""
+        """Issue a certificate for 127.0.0.1; return paths as in settings."""
         key = ec.generate_private_key(ec.SECP256R1())
         self._write(f"{name}.pem", self._sign(name, key, is_ca=False))
         (self.folder / f"{name}.key").write_bytes(
@@ -76,5 +76,5 @@
 
 
 def make_name(text: str) -> x509.Name:
-    """A name of one part."""
+    """Create a name that consists of a common name."""
     return x509.Name([x509.NameAttribute(oid.NameOID.COMMON_NAME, text)])
--- a/tests/common/collecting.py
+++ b/tests/common/collecting.py
@@ -1,4 +1,4 @@
-"""Runs one test module with nose2 and writes its outcomes as JSON."""
+"""Runs one test module with nose2 and writes the outcomes as JSON."""
 
 import json
 import pathlib
@@ -11,9 +11,9 @@
 
 
 class Collector(events.Plugin):
-    """Notes each test's outcome and wall time.
+    """Records the outcome and the duration of each test.
 
-    A skipped test is no pass here: a check that does not run is not green.
+    A skipped test does not count as passed.
     """
 
     configSection = "collector"  # noqa: N815 - nose2's name
@@ -22,16 +22,16 @@
     seconds: typing.ClassVar[dict[str, float]] = {}
 
     def startTest(self, event: typing.Any) -> None:  # noqa: N802
-        """Note when a test began."""
+        """Record when a test starts."""
         self.began = time.monotonic()
 
     def stopTest(self, event: typing.Any) -> None:  # noqa: N802
-        """Note how long a test took."""
+        """Record the duration of a test."""
         name = event.test.id().partition("\n")[0]
         self.seconds[name] = time.monotonic() - self.began
 
     def testOutcome(self, event: typing.Any) -> None:  # noqa: N802
-        """Note a test's outcome; a later failure is not overwritten."""
+        """Record a test's outcome; a failure is not overwritten."""
         name = event.test.id().partition("\n")[0]
         if self.outcomes.get(name, "passed") == "passed":
             self.outcomes[name] = event.outcome
--- a/tests/common/loopback.py
+++ b/tests/common/loopback.py
@@ -1,4 +1,4 @@
-"""Ports on loopback that tests may listen on."""
+"""Allocates ports on loopback for tests."""
 
 import fcntl
 import itertools
@@ -16,11 +16,11 @@
 
 
 def acquire_port_block() -> typing.Iterator[int]:
-    """Ports that this process alone may give away, in turn for ever.
+    """Lock a block of ports for this process; cycle through it endlessly.
 
-    Ports of the kernel's own range are taken by any outgoing connection
-    between the look and the use, so blocks below it are shared out; a lock
-    file holds a block for as long as this process lives.
+    Any outgoing connection may take a port of the kernel's ephemeral range
+    between the check and its use, so the blocks lie below that range. A lock
+    file reserves a block until this process ends.
     """
     for first in range(PORTS_FROM, PORTS_TO, PORT_BLOCK):
         name = f"carawayward-ports-{os.getuid()}-{first}"
@@ -32,11 +32,11 @@
             continue
         _LOCKS.append(lock)
         return itertools.cycle(range(first, first + PORT_BLOCK))
-    raise RuntimeError("all blocks of ports are taken; run fewer tests")
+    raise RuntimeError("all port blocks are locked; run fewer tests at once")
 
 
 def is_free(port: int, kind: socket.SocketKind) -> bool:
-    """Whether nobody has bound a port, for connections or for datagrams."""
+    """Whether a TCP or UDP port can be bound."""
     with socket.socket(type=kind) as each:
         if kind is socket.SOCK_STREAM:
             each.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -48,7 +48,7 @@
 
 
 def find_free_ports(count: int) -> list[int]:
-    """Ports that nothing listens on just now."""
+    """Return ports that are not in use at the moment."""
     if not _PORTS:
         _PORTS.append(acquire_port_block())
     found: list[int] = []
@@ -63,7 +63,7 @@
 
 
 def wait_until_listening(address: str) -> None:
-    """Wait until something accepts connections."""
+    """Wait until the address accepts connections."""
     host, _, port = address.rpartition(":")
     deadline = time.monotonic() + LISTENING_TIMEOUT_S
     while time.monotonic() < deadline:
--- a/tests/cover/test_docs.py
+++ b/tests/cover/test_docs.py
@@ -1,4 +1,4 @@
-"""Pages that are made from the code are up to date and complete."""
+"""Pages generated from the code are up to date and complete."""
 
 import importlib.util
 import pathlib
@@ -11,7 +11,7 @@
 
 
 def load_generator():
-    """docs/generate.py as a module."""
+    """Import docs/generate.py as a module."""
     spec = importlib.util.spec_from_file_location(
         "generate", "docs/generate.py"
     )
@@ -22,13 +22,13 @@
 
 
 def test_generated_pages_are_up_to_date():
-    """Someone adds a field or an event and forgets ./build.sh docs."""
+    """A field or an event was added without running ./build.sh docs."""
     for path, make in load_generator().PAGES.items():
         assert path.read_text() == make(), f"run ./build.sh docs: {path}"
 
 
 def test_event_codes_are_unique_and_each_bad_one_names_an_action():
-    """An alarm without a next step is no help in the first week."""
+    """Each warning and error tells the operator what to do."""
     codes = [event.value.code for event in events.Event]
     assert len(codes) == len(set(codes))
     for event in events.Event:
@@ -37,7 +37,7 @@
 
 
 def test_links_between_pages_lead_somewhere():
-    """A page was renamed and the others still point to it."""
+    """A page was renamed but links to it were not updated."""
     pages = [*pathlib.Path("docs").rglob("*.md"), pathlib.Path("README.md")]
     for page in pages:
         for target in re.findall(r"\]\(([^)#:]+)\)", page.read_text()):
@@ -45,7 +45,7 @@
 
 
 def list_users(folder):
-    """Decisions that the modules of a folder import."""
+    """List the decision modules that a folder imports."""
     pattern = re.compile(r"from carawayward\.decisions import (\w+)")
     return {
         name
@@ -55,9 +55,10 @@
 
 
 def test_decisions_say_whom_they_serve():
-    """A newcomer looks for what decides on forwarded routes.
+    """The docstring of the package says which part uses each module.
 
-    The package's own page would be worse than none if it lay.
+    A wrong list would mislead a newcomer who looks for the decisions on
+    forwarded routes.
     """
     page = decisions.__doc__
     forwarded, api, both = (
--- a/tests/cover/test_gateway_supervision.py
+++ b/tests/cover/test_gateway_supervision.py
@@ -1,4 +1,4 @@
-"""A task's fault ends neither the daemon nor is it run when it may not be."""
+"""Exceptions do not end the daemon; only controllers are restarted."""
 
 import typing
 
@@ -12,7 +12,7 @@
         [supervision.Supervisor], typing.Awaitable[None]
     ],
 ) -> None:
-    """Run a scenario with a supervisor."""
+    """Run a scenario with a supervisor in a new trio loop."""
 
     async def run() -> None:
         with trio.fail_after(20):
@@ -24,7 +24,7 @@
 
 
 def test_loop_that_meets_a_fault_goes_on():
-    """A controller that stops without a word is a slow failure."""
+    """A controller that stops silently would go unnoticed for long."""
     rounds = 0
 
     async def loop() -> None:
@@ -43,7 +43,7 @@
 
 
 def test_task_that_begins_later_is_never_begun_again():
-    """What may run once only is not made to run twice by a fault."""
+    """A task that must run only once is not restarted after a failure."""
     runs = 0
 
     async def run_call(words: str) -> None:
--- a/tests/cover/test_log_output.py
+++ b/tests/cover/test_log_output.py
@@ -1,4 +1,4 @@
-"""Log lines go out as far as their reader keeps up, and never block."""
+"""Log output adapts to its reader and never blocks."""
 
 import json
 import logging
@@ -8,15 +8,15 @@
 
 
 class Reader:
-    """A reader that takes what it is told to."""
+    """A reader whose readiness and clock the test controls."""
 
     def __init__(self):
         self.ready = True
-        self.taken = b""
+        self.received = b""
         self.now_s = 0.0
 
     def write(self, data):
-        self.taken += data[:1_000]
+        self.received += data[:1_000]
         return len(data[:1_000])
 
     def make_handler(self):
@@ -32,19 +32,19 @@
 
 
 def test_lines_are_whole_json_with_a_time():
-    """On-call staff read the lines with tools."""
+    """Tools parse the lines as JSON."""
     reader = Reader()
     emit(reader.make_handler(), 30)
-    lines = [json.loads(line) for line in reader.taken.splitlines()]
+    lines = [json.loads(line) for line in reader.received.splitlines()]
     assert len(lines) == 30
     assert all(line["event"] == 1 and line["at_ms"] > 0 for line in lines)
 
 
 def test_stalled_reader_costs_lines_and_is_told_how_many():
-    """Whoever reads standard output stops reading for a while.
+    """The reader of standard output stalls for a while.
 
-    The process goes on; when the reader is back it gets the oldest lines
-    and the number of those that were dropped.
+    The process continues. When the reader resumes, it gets the number of
+    lines that were dropped and the oldest lines that were kept.
     """
     reader = Reader()
     handler = reader.make_handler()
@@ -55,22 +55,22 @@
     assert len(handler.lines) == log_output.MAX_LINES
     reader.ready = True
     handler.flush()
-    first = json.loads(reader.taken.splitlines()[0])
+    first = json.loads(reader.received.splitlines()[0])
     assert first == {"event": "lines_dropped", "count": 2_500}
 
 
 def test_flood_of_usual_lines_does_not_hide_a_warning():
-    """A burst of traffic writes thousands of lines a second."""
+    """Under load thousands of lines a second are logged."""
     reader = Reader()
     handler = reader.make_handler()
     emit(handler, 5_000)
     emit(handler, 1, logging.WARNING, '{"event": 2}')
-    assert b'"event": 2' in reader.taken
-    assert handler.dropped or b"lines_dropped" in reader.taken
+    assert b'"event": 2' in reader.received
+    assert handler.dropped or b"lines_dropped" in reader.received
 
 
 def test_pipe_that_nobody_reads_does_not_block():
-    """Standard output is a full pipe."""
+    """Standard output is a pipe that fills up."""
     read_end, write_end = os.pipe()
     try:
         handler = log_output.BoundedHandler(
@@ -85,7 +85,7 @@
 
 
 def test_reader_that_is_gone_is_no_fault():
-    """The reader's end of the pipe is closed."""
+    """The reading end of the pipe is closed."""
     read_end, write_end = os.pipe()
     os.close(read_end)
     handler = log_output.BoundedHandler(
--- a/tests/cover/test_metrics.py
+++ b/tests/cover/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: bounded in names, exact in counts."""
+"""Metrics are bounded in number and counted exactly."""
 
 import socket
 
@@ -7,20 +7,20 @@
 
 
 def make_metrics() -> tuple[metrics.Metrics, clock.ManualClock]:
-    """Metrics on a clock that the test moves."""
+    """Create metrics on a manual clock."""
     manual = clock.ManualClock()
     return metrics.Metrics(manual), manual  # type: ignore[arg-type]
 
 
 def find_row(measured: metrics.Metrics, label: str) -> dict:
-    """The summary's row of one metric."""
+    """Return the summary's row of a metric."""
     rows = metrics.summarize(measured)
     (row,) = [row for row in rows if row["metric"] == label]
     return row
 
 
 def test_first_and_following_pieces_are_timed_apart():
-    """A slow first token must not hide among the fast ones after it."""
+    """A slow first token must not be averaged with the later fast ones."""
     measured, manual = make_metrics()
     watch = measured.watch("ikeja-families", "hard-match")
     for wait_ms in (300, 10, 10):
@@ -33,7 +33,7 @@
 
 
 def test_number_of_names_is_bounded():
-    """Names that callers invent end up under one name."""
+    """Names beyond the limit are counted under a single name."""
     measured, _ = make_metrics()
     for number in range(metrics.MAX_HISTOGRAMS + 50):
         measured.observe(metrics.Metric.LATENCY, f"c{number}", "t", 5)
@@ -45,7 +45,7 @@
 
 
 def test_statsd_gets_counters_as_differences():
-    """Sending totals as increments would count everything again."""
+    """Totals sent as increments would be counted repeatedly."""
     measured, _ = make_metrics()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver:
         receiver.bind(("127.0.0.1", 0))
--- a/tests/cover/test_settings.py
+++ b/tests/cover/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and declarations say what is wrong and what to do."""
+"""Errors of settings and declarations name the field and the remedy."""
 
 import pathlib
 
@@ -25,7 +25,7 @@
 
 
 def read_fault(data: dict) -> str:
-    """The message for bad settings."""
+    """Return the error message for invalid settings."""
     try:
         settings.Settings.from_config(yaml.safe_dump(data))
     except errors.SettingsError as fault:
@@ -34,37 +34,37 @@
 
 
 def test_good_settings_are_read_with_defaults():
-    """What is not given has a default."""
+    """Fields that are not given have defaults."""
     read = settings.Settings.from_config(yaml.safe_dump(GOOD))
     assert read.limits.max_body_bytes == 1_000_000
 
 
 def test_example_of_settings_is_valid():
-    """A newcomer starts from the example."""
+    """New users start from the example."""
     read = settings.Settings.from_file("examples/entry-vm.yaml")
     assert read.listen.operators == "10.0.1.11:8082"
 
 
 def test_unknown_setting_is_an_error_that_names_it():
-    """A misspelt limit must not be silently without effect."""
+    """A misspelt limit must not be ignored silently."""
     fault = read_fault({**GOOD, "limits": {"max_bdy_bytes": 1}})
     assert "limits" in fault and "max_bdy_bytes" in fault
 
 
 def test_wrong_type_is_an_error_that_names_field_and_value():
-    """A number in quotes is a text."""
+    """A quoted number is a text."""
     fault = read_fault({**GOOD, "limits": {"max_body_bytes": "5"}})
     assert "limits.max_body_bytes" in fault and "'5'" in fault
 
 
 def test_address_without_port_is_an_error_with_an_example():
-    """The remedy shows what an address looks like."""
+    """The message shows the format of an address."""
     fault = read_fault({**GOOD, "listen": {**LISTEN, "peers": "a"}})
     assert "listen.peers" in fault and "10.0.0.4:7000" in fault
 
 
 def test_both_users_declarations_are_valid_and_round_trip():
-    """What is published is what was written."""
+    """Structuring and unstructuring an example changes nothing."""
     for user in ("oduya", "wayfarer"):
         text = pathlib.Path(f"examples/{user}.yaml").read_text()
         read = declaration.Declaration.from_text(text)
@@ -73,7 +73,7 @@
 
 
 def test_task_with_unknown_model_is_an_error_that_lists_the_known():
-    """A newcomer sees at once what could have been meant."""
+    """The message lists the models that can be named."""
     text = pathlib.Path("examples/oduya.yaml").read_text()
     try:
         declaration.Declaration.from_text(
--- a/tests/failures/test_listener_stop.py
+++ b/tests/failures/test_listener_stop.py
@@ -1,4 +1,4 @@
-"""A listener that stops answers what callers sent before they could know."""
+"""A stopping listener serves requests that were sent before the stop."""
 
 import socket
 import typing
@@ -11,8 +11,8 @@
 from tests.common import loopback
 
 REQUEST = b"GET / HTTP/1.1\r\nHost: circle.example\r\n\r\n"
-# Callers' connections that are open when the listener stops. Which task runs
-# first is drawn anew for each; with so many, one is always unlucky.
+# Connections that are open when the listener stops. trio schedules tasks in
+# random order, so with this many at least one meets the unfavourable order.
 CALLERS = 20
 
 Scenario = typing.Callable[[str, int, trio.Event], typing.Awaitable[None]]
@@ -25,7 +25,7 @@
 
 
 def run_beside_listener(scenario: Scenario) -> None:
-    """Run a scenario that stops a listener."""
+    """Run a scenario with a listener that it can stop."""
 
     async def run() -> None:
         (port,) = loopback.find_free_ports(1)
@@ -45,14 +45,14 @@
 
 
 async def open_callers(host: str, port: int) -> list[trio.SocketStream]:
-    """Connections that the listener has accepted."""
+    """Open connections and wait until the listener has accepted them."""
     callers = [await trio.open_tcp_stream(host, port) for _ in range(CALLERS)]
     await trio.sleep(0.05)
     return callers
 
 
 async def read_status(caller: trio.SocketStream) -> bytes:
-    """The first line of an answer; empty if the connection was closed."""
+    """Read a status line; empty if the connection was closed."""
     try:
         with trio.fail_after(5):
             return (await caller.receive_some()).partition(b"\r\n")[0]
@@ -61,11 +61,10 @@
 
 
 def test_request_that_arrives_as_the_listener_stops_is_answered():
-    """A parcel is logged just as its entry VM is replaced; no answer comes.
+    """A request in the socket buffer gets no response when its VM stops.
 
-    The caller's request is in the entry VM's socket buffer when the listener
-    stops. Cause: a connection whose request has not been read yet looks idle,
-    and idle connections are closed.
+    It has been received but not read when the listener stops. Its connection
+    looks idle, and idle connections are closed.
     """
 
     async def scenario(host: str, port: int, stop: trio.Event) -> None:
@@ -81,11 +80,10 @@
 
 
 def test_connection_just_accepted_may_still_send_its_request():
-    """A caller connects, the listener stops, and the request gets no answer.
+    """A request is in transit when the listener stops and gets no response.
 
-    The connection was accepted a moment before the stop, and the request is
-    still on its way. Cause: the connection has carried no request so far, so
-    that it was closed as idle 0 ms after it had been opened.
+    Its connection was accepted just before the stop. It has carried no
+    request so far, so it was closed as idle 0 ms after it had been opened.
     """
 
     async def scenario(host: str, port: int, stop: trio.Event) -> None:
@@ -101,9 +99,9 @@
 
 
 def test_idle_connections_do_not_hold_up_a_stop():
-    """A replaced entry VM is killed, since idle callers keep it from ending.
+    """Idle connections keep a stopping entry VM running until it is killed.
 
-    Cause: waiting for requests that may still be under way must have an end.
+    The wait for requests that may still be in transit must be bounded.
     """
 
     async def scenario(host: str, port: int, stop: trio.Event) -> None:
@@ -118,11 +116,11 @@
 
 
 def test_connection_that_waits_to_be_accepted_is_served():
-    """Callers in the listen queue get a reset when the listener closes."""
+    """Connections in the accept queue are reset when the listener closes."""
 
     async def scenario(host: str, port: int, stop: trio.Event) -> None:
         stop.set()
-        # Blocking calls: the listener's task cannot accept in between.
+        # Blocking calls, so that the listener's task cannot accept meanwhile.
         callers = [socket.create_connection((host, port)) for _ in range(9)]
         for caller in callers:
             caller.sendall(REQUEST)
--- a/tests/failures/test_path_peers.py
+++ b/tests/failures/test_path_peers.py
@@ -1,4 +1,4 @@
-"""Links between entry VMs under junk, forgery and silence."""
+"""Links between entry VMs under malformed data, forgery and silence."""
 
 import contextlib
 import functools
@@ -20,7 +20,7 @@
     scenario: typing.Callable[..., typing.Awaitable[None]],
     *arguments: typing.Any,
 ) -> None:
-    """Run a scenario with a nursery that ends with it."""
+    """Run a scenario with a nursery that is cancelled after it."""
 
     async def bounded() -> None:
         with trio.fail_after(90):
@@ -38,7 +38,7 @@
         (peering.NEW_KEY,),
     ),
 ) -> tuple[hub_module.PeerHub, hub_module.PeerHub]:
-    """Two hubs that have each other as seeds."""
+    """Start two hubs that have each other as seeds."""
     ports = sorted(loopback.find_free_ports(2))
     one = peering.make_hub("one", ports[0], ports, keys[0])
     two = peering.make_hub("two", ports[1], ports, keys[1])
@@ -53,20 +53,20 @@
 
 
 def get_port(hub: hub_module.PeerHub) -> int:
-    """The port that a hub listens on."""
+    """Return the port that a hub listens on."""
     return int(hub.settings.listen.peers.rpartition(":")[2])
 
 
 def choose_nobody(*_: object) -> frozenset[str]:
-    """A topology without links but those to seeds."""
+    """A topology that chooses no peers, so only seeds are linked."""
     return frozenset()
 
 
 def test_entry_vms_with_different_newest_keys_link_while_keys_rotate():
-    """Half of the entry VMs lose the other half during a key change.
+    """Entry VMs lose their links while keys are rotated.
 
-    One has the new key first, the other still the old one; both accept
-    both. Cause: a change of keys is never in force everywhere at once.
+    A new key never takes effect everywhere at once: one entry VM already has
+    the new key first, the other still the old one; both accept both.
     """
 
     async def scenario(nursery: trio.Nursery) -> None:
@@ -80,10 +80,10 @@
 
 
 def test_peer_with_a_foreign_key_gets_no_link():
-    """A stranger's process on the network joins the deployment.
+    """A foreign process on the network joins the deployment.
 
-    It speaks the protocol and knows the address, not the key. Cause: the
-    port is open to whoever can reach it.
+    The port is open to anyone who can reach it. The process implements the
+    protocol and knows the address but not the key.
     """
 
     async def scenario(nursery: trio.Nursery) -> None:
@@ -97,10 +97,10 @@
 
 
 def test_recorded_handshake_opens_no_link():
-    """An eavesdropper plays back what an entry VM once sent.
+    """An eavesdropper replays the handshake of an entry VM.
 
-    The proof is genuine and signed with the right key. Cause: without a
-    fresh challenge a proof is a password that everyone on the wire knows.
+    The proof is genuine and signed with the right key. Without a new
+    challenge each time it would be a password known to all eavesdroppers.
     """
 
     async def scenario(nursery: trio.Nursery) -> None:
@@ -126,11 +126,11 @@
 
 
 def test_junk_and_oversized_messages_leave_other_links_alone():
-    """One broken process on the network cuts the entry VMs off.
+    """A faulty process on the network breaks the links of entry VMs.
 
-    Bytes that are no handshake, a connection that never says anything, and
-    a peer that sends junk and far too much. Cause: a port that is open to
-    all is met by all.
+    The port is open to anyone. It receives bytes that are not a handshake, a
+    connection that sends hardly anything, and from an authenticated peer a
+    malformed and an oversized message.
     """
 
     async def scenario(nursery: trio.Nursery) -> None:
@@ -147,7 +147,7 @@
             rogue = peering.make_hub("rogue", port, [get_port(one)])
             await rogue.start(nursery)
             await peering.wait_until(lambda: "rogue" in one.links)
-            # The side that dialled lists the link a moment later.
+            # The dialling side records the link slightly later.
             await peering.wait_until(
                 functools.partial(operator.contains, rogue.links, "one")
             )
@@ -165,11 +165,10 @@
 
 
 def test_silent_link_is_noticed_dropped_and_made_anew():
-    """Bills stay at one entry VM, whose link looks open, for hours.
+    """Bills are stuck for hours behind a link that looks open.
 
-    The connection stands and carries nothing any more; new ones work.
-    Cause: something between the two ends has lost track of it, and neither
-    end is told.
+    Something on the network path has lost track of the connection and tells
+    neither side: it stays open but carries nothing, while new ones work.
     """
 
     async def scenario(nursery: trio.Nursery) -> None:
@@ -184,15 +183,15 @@
         await peering.wait_until(lambda: "one" in two.links)
         first = one.links["two"], two.links["one"]
         wire.silence()
-        # Several times what an idle machine needs; the tight bound is the
-        # link's own business and no verdict for a busy machine.
+        # Several times what an idle machine needs: the test has to pass on
+        # a busy machine, so it does not check the link's tight bound.
         bound_s = 4 * (
             link_module.SILENCE_TIMEOUT_S + link_module.HEARTBEAT_INTERVAL_S
         )
         await peering.wait_until(
             lambda: first[0].closed and first[1].closed, bound_s
         )
-        # A closed link stays listed until its task has ended.
+        # Wait until a new link has replaced the first one.
         await peering.wait_until(
             lambda: one.links.get("two") not in (None, first[0])
         )
@@ -202,11 +201,11 @@
 
 
 def test_call_over_a_link_that_has_just_closed_goes_over_a_new_one():
-    """A resent ticket is answered "unknown" though its issuer is up.
+    """A resent ticket is answered "unknown" although its issuer is up.
 
-    The link to the issuer was closed a moment ago and its task has not ended
-    yet. Cause: the closed link stayed listed and was taken for a link, and
-    the next dial joined the task that had made it.
+    The link to the issuer has just closed and its task has not ended yet.
+    The closed link stayed in the list and was used, and the next dial waited
+    for the task that had made it.
     """
 
     async def scenario(nursery: trio.Nursery) -> None:
@@ -231,10 +230,10 @@
 
 
 def test_named_peer_without_a_link_is_dialled_on_demand():
-    """A ticket is answered "unknown" though its issuer is up.
+    """A ticket is answered "unknown" although its issuer is up.
 
-    In a large deployment an entry VM links to few others; the issuer of a
-    ticket is seldom among them. Cause: no link is not the same as gone.
+    In a large deployment an entry VM has links to only a few others, seldom
+    to the issuer of a ticket. A missing link does not mean that it is gone.
     """
 
     async def scenario(nursery: trio.Nursery) -> None:
@@ -262,10 +261,11 @@
 
 
 def test_entry_vms_find_each_other_from_two_seeds_without_a_full_mesh():
-    """A deployment grows, and its entry VMs spend their time on each other.
+    """Links between entry VMs cost more and more as a deployment grows.
 
-    Sixteen start at once and know two addresses. Cause: links to all cost
-    more with each VM; links to the seeds alone would end with the seeds.
+    A full mesh costs more with each entry VM, and with links to the seeds
+    alone all links would be lost with the seeds. Sixteen entry VMs start at
+    once and know two addresses.
     """
 
     async def scenario(nursery: trio.Nursery) -> None:
--- a/tests/failures/test_path_tls.py
+++ b/tests/failures/test_path_tls.py
@@ -1,4 +1,4 @@
-"""TLS on each listener where the settings name certificates."""
+"""TLS on the listeners for which the settings name certificates."""
 
 import pathlib
 import ssl
@@ -17,20 +17,20 @@
 
 @attrs.define
 class TlsDeployment(deployment.Deployment):
-    """A deployment whose callers' and operators' ports speak TLS."""
+    """A deployment that uses TLS on the callers' and operators' ports."""
 
     plan: deployment.Plan = streaming.make_plan()
     authority: str = ""
     client: dict = attrs.field(factory=dict)
 
     def wait_until_ready(self, vm: deployment.EntryProcess) -> None:
-        """Wait until readiness is shown over TLS."""
+        """Wait until the entry VM reports ready over TLS."""
         assert streaming.wait_for(
             lambda: self.get(vm.callers, "/readyz", self.client) == 200, 30.0
         )
 
     def get(self, address: str, path: str, client: dict) -> int:
-        """Status of a GET over TLS; 0 when there is no connection."""
+        """Return the status of a GET over TLS; 0 if the connection fails."""
         context = ssl.create_default_context(cafile=self.authority)
         if client:
             context.load_cert_chain(client["certificate"], client["key"])
@@ -51,11 +51,11 @@
 
 
 def test_callers_and_operators_are_served_over_tls():
-    """Callers' keys can be read on the way.
+    """Callers' keys could be read on the network.
 
-    The callers' port asks for a certificate of the callers' own authority,
-    the operators' port for none. Cause: a key in a header is as secret as
-    the connection that carries it.
+    A key in a header is only as secret as the connection. The callers' port
+    requires a certificate of the callers' authority, the operators' port
+    requires none.
     """
     with tempfile.TemporaryDirectory() as folder:
         own = certificates.Authority(pathlib.Path(folder), "own")
@@ -79,11 +79,11 @@
 
 
 def test_peers_link_over_tls_under_a_common_authority_only():
-    """Bills and tickets between entry VMs can be read on the way.
+    """Bills and tickets between entry VMs could be read on the network.
 
-    Two entry VMs have certificates of one authority; a third has the key
-    of the deployment and a certificate of another. Cause: the handshake on
-    a link proves who is there, and hides nothing.
+    The handshake on a link authenticates the peers but does not encrypt.
+    Two entry VMs have certificates of one authority; a third has the key of
+    the deployment but a certificate of another authority.
     """
 
     async def scenario(folder: str) -> None:
--- a/tests/failures/test_whole_path.py
+++ b/tests/failures/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path, as processes, on a small deployment."""
+"""Runs a small deployment, with all of its processes, end to end."""
 
 import attrs
 
@@ -19,6 +19,6 @@
 
 
 def test_each_request_is_answered_billed_and_run_as_often_as_it_may():
-    """The demo's own check, on every change."""
+    """The demo reports no fault."""
     faults = demo.run_user(SMALL, count=24, keep=False)
     assert faults == []
