--- a/src/carawayward/events.py
+++ b/src/carawayward/events.py
@@ -77,7 +77,7 @@
     PLATFORM_BACK = EventKind(1202, "A platform service responds again.")
     STORE_ERA_CHANGED = EventKind(
         1204,
-        "The platform's store was restored from a copy and may have lost "
+        "The platform's store was restored from a backup and may have lost "
         "acknowledged writes; all topics are listed again.",
         'see "The store comes back from a copy" in '
         "docs/operations/forwarding.md",
@@ -173,7 +173,7 @@
     )
     ENDPOINT_HELD = EventKind(
         1518,
-        "The store, restored from a copy, lists an endpoint that has left; "
+        "The store, restored from a backup, lists an endpoint that has left; "
         "it gets no requests unless its entry is renewed.",
     )
     DELEGATE_CHOSEN = EventKind(
--- a/src/carawayward/forwarding/readiness.py
+++ b/src/carawayward/forwarding/readiness.py
@@ -24,7 +24,7 @@
 
     def is_fresh(self) -> bool:
         """Whether the table is recent enough to trust its keys."""
-        return self.board.is_fresh(self.clock.boot_ms())
+        return self.board.is_key_lease_valid(self.clock.boot_ms())
 
     def should_redirect_callers(self) -> bool:
         """Whether callers should move to another entry VM.
--- a/src/carawayward/peers/dialling.py
+++ b/src/carawayward/peers/dialling.py
@@ -73,10 +73,10 @@
         self.routes.update(self.hub.settings.peer_routes)
         nursery.start_soon(self._keep_links)
 
-    def record_link_up(self, dialled: str, given: str) -> None:
+    def record_link_up(self, dialled: str, announced: str) -> None:
         """Record that a dial has made a link, and the announced address."""
         if dialled in self.hub.settings.peers:
-            self.routes[given] = dialled
+            self.routes[announced] = dialled
         self.pending_dials.pop(dialled).set()
 
     def has_tried_seeds(self) -> bool:
@@ -157,32 +157,32 @@
 
     def _list_linked_addresses(self) -> set[str]:
         """Addresses at which linked peers are dialled."""
-        given = [link.identity.address for link in self.hub.links.values()]
-        return {self.routes.get(each, each) for each in given}
+        announced = [link.identity.address for link in self.hub.links.values()]
+        return {self.routes.get(each, each) for each in announced}
 
     def _list_addresses_to_dial(self, now: float) -> list[str]:
         """List the addresses to dial now."""
         hub = self.hub
         known = hub.board.entry_vms
-        given = [known[name].address for name in self.choose()]
-        addresses = {self.routes.get(each, each) for each in given}
+        announced = [known[name].address for name in self.choose()]
+        addresses = {self.routes.get(each, each) for each in announced}
         addresses.update(self._list_seeds_to_link(now))
         linked = self._list_linked_addresses()
-        here = hub.settings.listen.peers
-        open_addresses = {
+        own_address = hub.settings.listen.peers
+        candidates = {
             address
-            for address in addresses - linked - {here}
+            for address in addresses - linked - {own_address}
             if address not in self.pending_dials
             and address not in self.backing_off
         }
         self.wanted_since = {
             address: self.wanted_since.get(address, now)
-            for address in open_addresses
+            for address in candidates
         }
         return sorted(
             address
             for address, since in self.wanted_since.items()
-            if here < address or now - since >= LARGER_ADDRESS_DELAY_S
+            if own_address < address or now - since >= LARGER_ADDRESS_DELAY_S
         )
 
     def _list_seeds_to_link(self, now: float) -> list[str]:
@@ -192,8 +192,8 @@
         members = max(len(hub.board.entry_vms) + 1, len(seeds))
         if members <= topology.FULL_MESH_MOST:
             return list(seeds)
-        here = hub.settings.listen.peers
-        others = [seed for seed in seeds if seed != here]
+        own_address = hub.settings.listen.peers
+        others = [seed for seed in seeds if seed != own_address]
         if others and (
             not hub.links
             or now - self._last_seed_link_s > SEED_LINK_INTERVAL_S
@@ -206,11 +206,13 @@
         """Close dialled links that are neither chosen nor used."""
         chosen = self.choose()
         seeds = set(self.hub.settings.peers)
-        small = len(seeds) <= topology.FULL_MESH_MOST
+        is_small = len(seeds) <= topology.FULL_MESH_MOST
         for name, link in list(self.hub.links.items()):
-            given = link.identity.address
-            seeded = small and self.routes.get(given, given) in seeds
-            kept = name in chosen or seeded
+            announced = link.identity.address
+            is_seed = (
+                is_small and self.routes.get(announced, announced) in seeds
+            )
+            kept = name in chosen or is_seed
             idle = now - link.last_call_s > UNUSED_LINK_TIMEOUT_S
             if link.dialled and not kept and idle:
                 link.close()
--- a/src/carawayward/peers/hub.py
+++ b/src/carawayward/peers/hub.py
@@ -121,8 +121,8 @@
         in time or the peer cannot be dialled.
         """
         with trio.move_on_after(min(timeout_ms, DIAL_TIMEOUT_MS) / 1000):
-            # A claim or a ticket may name a peer that has just started and
-            # has not been announced to this entry VM yet.
+            # A claim or a ticket may name a peer that has just started, so
+            # that only the log or the caller has mentioned it so far.
             while peer not in self.links:
                 known = self.board.entry_vms.get(peer)
                 if known is not None:
--- a/src/carawayward/peers/link.py
+++ b/src/carawayward/peers/link.py
@@ -40,9 +40,9 @@
     """A connection to an authenticated peer.
 
     ``dialled`` is set on the side that dialled. ``heard`` is when the last
-    message arrived and ``last_call_s`` when the last call was made, both on
-    trio's clock. ``on_close`` is called once, at the moment of closing; the
-    task that runs the link ends later.
+    message arrived and ``last_call_s`` when the last call was sent or
+    received, both on trio's clock. ``on_close`` is called once, at the
+    moment of closing; the task that runs the link ends later.
     """
 
     identity: handshake.Identity
