--- a/src/carawayward/documents.py
+++ b/src/carawayward/documents.py
@@ -18,15 +18,16 @@
 ErrorKind = typing.Callable[[str, object, str], Exception]
 
 # A larger document is a mistake or an attack, and parsing it would block all
-# other work on the only thread.
+# other work on the only thread. Documents that are nested too deeply fail with
+# RecursionError.
 MAX_DOCUMENT_BYTES = 1_000_000
 
 
 class WrongType(ValueError):
     """A value whose type does not match its field."""
 
-    def __init__(self, found: object, wanted: str) -> None:
-        super().__init__(f"write {wanted}")
+    def __init__(self, found: object, expected: str) -> None:
+        super().__init__(f"write {expected}")
         self.found = found
 
 
--- a/src/carawayward/errors.py
+++ b/src/carawayward/errors.py
@@ -111,7 +111,7 @@
 
 
 class Unwell(CarawaywardError):
-    """The doctor found a problem that an operator has to fix."""
+    """A diagnostic command found a problem; the message describes it."""
 
 
 class PublishUnknown(CarawaywardError):
--- a/src/carawayward/metrics.py
+++ b/src/carawayward/metrics.py
@@ -21,7 +21,7 @@
 MAX_HISTOGRAMS = 400
 MAX_COUNTERS = 400
 SIGNIFICANT_DIGITS = 2
-FLUSH_MS = 10_000.0
+FLUSH_INTERVAL_MS = 10_000.0
 OTHER = "other"
 
 
@@ -175,7 +175,7 @@
 
     async def _flush_periodically(self) -> None:
         while True:
-            await self.metrics.clock.sleep(FLUSH_MS)
+            await self.metrics.clock.sleep(FLUSH_INTERVAL_MS)
             self.flush()
 
     def flush(self) -> None:
--- a/tests/common/collecting.py
+++ b/tests/common/collecting.py
@@ -23,12 +23,12 @@
 
     def startTest(self, event: typing.Any) -> None:  # noqa: N802
         """Record when a test starts."""
-        self.began = time.monotonic()
+        self.started_s = time.monotonic()
 
     def stopTest(self, event: typing.Any) -> None:  # noqa: N802
         """Record the duration of a test."""
         name = event.test.id().partition("\n")[0]
-        self.seconds[name] = time.monotonic() - self.began
+        self.seconds[name] = time.monotonic() - self.started_s
 
     def testOutcome(self, event: typing.Any) -> None:  # noqa: N802
         """Record a test's outcome; a failure is not overwritten."""
--- a/tests/common/loopback.py
+++ b/tests/common/loopback.py
@@ -9,7 +9,7 @@
 import time
 import typing
 
-PORTS_FROM, PORTS_TO, PORT_BLOCK = 12_000, 32_000, 800
+FIRST_PORT, END_PORT, PORTS_PER_BLOCK = 12_000, 32_000, 800
 LISTENING_TIMEOUT_S = 30.0
 _LOCKS: list[typing.IO] = []
 _PORTS: list[typing.Iterator[int]] = []
@@ -22,7 +22,7 @@
     between the check and its use, so the blocks lie below that range. A lock
     file reserves a block until this process ends.
     """
-    for first in range(PORTS_FROM, PORTS_TO, PORT_BLOCK):
+    for first in range(FIRST_PORT, END_PORT, PORTS_PER_BLOCK):
         name = f"carawayward-ports-{os.getuid()}-{first}"
         lock = open(pathlib.Path(tempfile.gettempdir()) / name, "w")
         try:
@@ -31,17 +31,17 @@
             lock.close()
             continue
         _LOCKS.append(lock)
-        return itertools.cycle(range(first, first + PORT_BLOCK))
+        return itertools.cycle(range(first, first + PORTS_PER_BLOCK))
     raise RuntimeError("all port blocks are locked; run fewer tests at once")
 
 
 def is_free(port: int, kind: socket.SocketKind) -> bool:
     """Whether a TCP or UDP port can be bound."""
-    with socket.socket(type=kind) as each:
+    with socket.socket(type=kind) as probe:
         if kind is socket.SOCK_STREAM:
-            each.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            each.bind(("127.0.0.1", port))
+            probe.bind(("127.0.0.1", port))
         except OSError:
             return False
     return True
@@ -52,7 +52,7 @@
     if not _PORTS:
         _PORTS.append(acquire_port_block())
     found: list[int] = []
-    for port in itertools.islice(_PORTS[0], 2 * PORT_BLOCK):
+    for port in itertools.islice(_PORTS[0], 2 * PORTS_PER_BLOCK):
         if len(found) == count:
             return found
         if is_free(port, socket.SOCK_STREAM) and is_free(
--- a/tests/cover/test_settings.py
+++ b/tests/cover/test_settings.py
@@ -15,7 +15,7 @@
     "operators": "127.0.0.1:7002",
 }
 
-GOOD: dict = {
+VALID: dict = {
     "name": "oduya-0",
     "failure_domain": "ikeja",
     "listen": LISTEN,
@@ -24,7 +24,7 @@
 }
 
 
-def read_fault(data: dict) -> str:
+def get_error(data: dict) -> str:
     """Return the error message for invalid settings."""
     try:
         settings.Settings.from_config(yaml.safe_dump(data))
@@ -35,7 +35,7 @@
 
 def test_good_settings_are_read_with_defaults():
     """Fields that are not given have defaults."""
-    read = settings.Settings.from_config(yaml.safe_dump(GOOD))
+    read = settings.Settings.from_config(yaml.safe_dump(VALID))
     assert read.limits.max_body_bytes == 1_000_000
 
 
@@ -47,19 +47,19 @@
 
 def test_unknown_setting_is_an_error_that_names_it():
     """A misspelt limit must not be ignored silently."""
-    fault = read_fault({**GOOD, "limits": {"max_bdy_bytes": 1}})
+    fault = get_error({**VALID, "limits": {"max_bdy_bytes": 1}})
     assert "limits" in fault and "max_bdy_bytes" in fault
 
 
 def test_wrong_type_is_an_error_that_names_field_and_value():
     """A quoted number is a text."""
-    fault = read_fault({**GOOD, "limits": {"max_body_bytes": "5"}})
+    fault = get_error({**VALID, "limits": {"max_body_bytes": "5"}})
     assert "limits.max_body_bytes" in fault and "'5'" in fault
 
 
 def test_address_without_port_is_an_error_with_an_example():
     """The message shows the format of an address."""
-    fault = read_fault({**GOOD, "listen": {**LISTEN, "peers": "a"}})
+    fault = get_error({**VALID, "listen": {**LISTEN, "peers": "a"}})
     assert "listen.peers" in fault and "10.0.0.4:7000" in fault
 
 
