--- a/src/carawayward/events.py
+++ b/src/carawayward/events.py
@@ -230,7 +230,7 @@
         1506, "A suspect request was answered and is no longer suspect."
     )
     REQUEST_HEDGED = EventKind(
-        1507, "A run without output was hedged on another endpoint."
+        1507, "A run without output was started again on another endpoint."
     )
     BILLS_WAITING = EventKind(
         1601,
--- a/src/carawayward/http_server.py
+++ b/src/carawayward/http_server.py
@@ -172,7 +172,7 @@
         problem = {
             "title": "bad request",
             "status": status_code,
-            "detail": "not a valid HTTP/1.1 request, or its head is too large",
+            "detail": "this is no HTTP/1.1 request, or its head is too large",
             "not_run": True,
         }
         body = json.dumps(problem).encode()
