--- a/src/carawayward/commands/access.py
+++ b/src/carawayward/commands/access.py
@@ -7,7 +7,7 @@
 from carawayward.services import log as log_module
 
 
-def with_log(
+def run_with_log(
     url: str,
     run: typing.Callable[[log_module.LogClient], typing.Awaitable],
 ) -> typing.Any:
--- a/src/carawayward/commands/bills.py
+++ b/src/carawayward/commands/bills.py
@@ -15,13 +15,13 @@
 
     async def run(client: log_module.LogClient) -> str:
         totals: dict[str, list[float]] = {}
-        for bill in (await read_ledger(client)).values():
+        for bill in (await read_bills(client)).values():
             total = totals.setdefault(bill.customer, [0, 0.0])
             total[0] += 1
             total[1] += bill.cost
         return json.dumps(totals, indent=2, sort_keys=True)
 
-    return access.with_log(log, run)
+    return access.run_with_log(log, run)
 
 
 def export(log: str, file: str) -> str:
@@ -38,9 +38,9 @@
     missed = len(ledger.checkpoint.gaps)
 
     async def run(client: log_module.LogClient) -> int:
-        return await export_new(client, ledger)
+        return await export_new_bills(client, ledger)
 
-    added = access.with_log(log, run)
+    added = access.run_with_log(log, run)
     for gap in ledger.checkpoint.gaps[missed:]:
         raise errors.LedgerError(
             file,
@@ -54,7 +54,7 @@
 def totals(file: str) -> str:
     """Print each customer's totals of an exported ledger."""
     ledger = ledger_module.Ledger.from_file(file)
-    found = ledger_module.add_up(ledger.read())
+    found = ledger_module.sum_by_customer(ledger.read())
     return json.dumps(found, indent=2, sort_keys=True)
 
 
@@ -81,7 +81,7 @@
 COMMANDS = {"export": export, "totals": totals, "check": check}
 
 
-async def export_new(
+async def export_new_bills(
     client: log_module.LogClient, ledger: ledger_module.Ledger
 ) -> int:
     """Read on from the checkpoint to the tail; return how many were new."""
@@ -92,14 +92,14 @@
         decoded = [billing.decode(item.data) for item in batch.records]
         found = [bill for bill in decoded if bill is not None]
         gap = batch.oldest if batch.oldest > offset else 0
-        following = max(batch.next_offset, batch.oldest)
+        resume_offset = max(batch.next_offset, batch.oldest)
         if batch.records or gap:
-            added += ledger.add(found, following, gap)
+            added += ledger.add(found, resume_offset, gap)
         if not batch.records:
             return added
 
 
-async def read_ledger(
+async def read_bills(
     client: log_module.LogClient,
 ) -> dict[tuple[str, str], billing.Bill]:
     """Fold all bills that the log holds."""
--- a/src/carawayward/commands/declarations.py
+++ b/src/carawayward/commands/declarations.py
@@ -49,7 +49,7 @@
         lines = comparison.show_changes(changes) or "no difference"
         return f"against revision {state.revision}:\n{lines}"
 
-    return access.with_log(log, run)
+    return access.run_with_log(log, run)
 
 
 def publish(
@@ -73,7 +73,7 @@
             drawn_from = state.revision
         return await publishing.publish(client, document, drawn_from, operator)
 
-    return f"revision {access.with_log(log, run)} is in the log"
+    return f"revision {access.run_with_log(log, run)} is in the log"
 
 
 def confirm(node: str, key: str = "", wait_s: float = 0.0) -> str:
@@ -89,7 +89,7 @@
     """
     deadline = time.monotonic() + wait_s
     while True:
-        shown = inspect.fetch(node, "/v1/status", key)
+        shown = inspect.fetch_json(node, "/v1/status", key)
         states: dict[str, str] = shown["confirmations"]
         waiting = [name for name, state in states.items() if state == WAITING]
         if not waiting:
@@ -118,7 +118,7 @@
             client, document, state.revision, operator
         )
 
-    return f"revision {access.with_log(log, run)} withdraws {version}"
+    return f"revision {access.run_with_log(log, run)} withdraws {version}"
 
 
 def rollback(
@@ -140,12 +140,12 @@
 
     async def run(client: log_module.LogClient) -> int:
         history = await read_history(client)
-        current, document = choose_earlier(history, to)
+        current, document = select_document(history, to)
         if not restore_withdrawn:
-            check_restores_nothing(history[-1][1], document)
+            check_no_version_restored(history[-1][1], document)
         return await publishing.publish(client, document, current, operator)
 
-    return f"revision {access.with_log(log, run)} is in the log"
+    return f"revision {access.run_with_log(log, run)} is in the log"
 
 
 def show(log: str) -> str:
@@ -157,7 +157,7 @@
             {"revision": state.revision, "document": state.document}, indent=2
         )
 
-    return access.with_log(log, run)
+    return access.run_with_log(log, run)
 
 
 def digest(key: str) -> str:
@@ -202,7 +202,7 @@
     return history
 
 
-def choose_earlier(history: History, to: int | None) -> tuple[int, dict]:
+def select_document(history: History, to: int | None) -> tuple[int, dict]:
     """The revision in force, and the document to publish again."""
     known = [revision for revision, _ in history]
     if len(known) < 2 and to is None:
@@ -218,7 +218,7 @@
     )
 
 
-def check_restores_nothing(current: dict, earlier: dict) -> None:
+def check_no_version_restored(current: dict, earlier: dict) -> None:
     """Refuse a rollback that would bring a withdrawn version back."""
     withdrawn = list_withdrawn(current)
     restored = sorted(withdrawn - list_withdrawn(earlier))
--- a/src/carawayward/commands/explain.py
+++ b/src/carawayward/commands/explain.py
@@ -10,7 +10,7 @@
 from carawayward.forwarding import settings
 
 # Fields that every line has or that are shown elsewhere in the row.
-PLAIN_FIELDS = frozenset(("at_ms", "event", "name", "request"))
+OMITTED_FIELDS = frozenset(("at_ms", "event", "name", "request"))
 
 
 @decorators.SetParseFn(str)
@@ -20,7 +20,7 @@
     Args:
         request: the id of the caller's attempt.
     """
-    rows = list(tell(request, sys.stdin))
+    rows = list(format_request_log(request, sys.stdin))
     if not rows:
         raise errors.Unwell(
             f"no line names request {request}; put the logs of all entry VMs "
@@ -39,7 +39,7 @@
     print(f"{path}: usable, entry VM {found.name}")
 
 
-def tell(request: str, lines: typing.Iterable[str]) -> list[str]:
+def format_request_log(request: str, lines: typing.Iterable[str]) -> list[str]:
     """The rows for one request, the earliest first.
 
     Times are in ms after the first line; the entry VMs' clocks may differ
@@ -63,7 +63,7 @@
         + ", ".join(
             f"{name}={value}"
             for name, value in entry.items()
-            if name not in PLAIN_FIELDS and value not in (None, "")
+            if name not in OMITTED_FIELDS and value not in (None, "")
         )
         for at_ms, prefix, entry in found
     ]
--- a/src/carawayward/commands/inspect.py
+++ b/src/carawayward/commands/inspect.py
@@ -22,7 +22,7 @@
         node: the operators' address of an entry VM, ip:port.
         key: operators' key; by default from CARAWAYWARD_OPERATOR_KEY.
     """
-    return format_status(fetch(node, "/v1/status", key))
+    return format_status(fetch_json(node, "/v1/status", key))
 
 
 def top(*nodes: str, metric: str = "latency", key: str = "") -> str:
@@ -33,7 +33,7 @@
         metric: latency, first_token, between_tokens, queue_wait or cost.
         key: operators' key; by default from CARAWAYWARD_OPERATOR_KEY.
     """
-    merged = merge_rows(fetch_all(nodes, key), metric)
+    merged = merge_histograms(fetch_histogram_rows(nodes, key), metric)
     lines = [f"{'customer':<20}{'class':<20}{'count':>8}{'p50':>9}{'p95':>9}"]
     lines[0] += f"{'p99':>9}{'max':>9}"
     ranked = sorted(
@@ -64,13 +64,15 @@
         key: operators' key; by default from CARAWAYWARD_OPERATOR_KEY.
     """
     total = make_histogram(metric)
-    for (of, what), part in merge_rows(fetch_all(nodes, key), metric).items():
+    for (of, what), part in merge_histograms(
+        fetch_histogram_rows(nodes, key), metric
+    ).items():
         if customer in ("", of) and kind in ("", what):
             total.add(part)
-    return draw(total)
+    return format_histogram(total)
 
 
-def fetch(node: str, path: str, key: str) -> typing.Any:
+def fetch_json(node: str, path: str, key: str) -> typing.Any:
     """Read JSON from an entry VM's operators' listener."""
     key = key or os.environ.get(KEY_VARIABLE, "")
     names = ("connect", "read", "write", "pool")
@@ -94,13 +96,13 @@
     return json.loads(response.content)
 
 
-def fetch_all(nodes: tuple[str, ...], key: str) -> list[dict]:
+def fetch_histogram_rows(nodes: tuple[str, ...], key: str) -> list[dict]:
     """All histogram rows of several entry VMs."""
     if not nodes:
         raise errors.BadRequest(
             "nodes", "none", "name operators' addresses of entry VMs"
         )
-    return [row for n in nodes for row in fetch(n, "/v1/histograms", key)]
+    return [row for n in nodes for row in fetch_json(n, "/v1/histograms", key)]
 
 
 def make_histogram(metric: str) -> hdr.HdrHistogram:
@@ -114,7 +116,7 @@
     raise errors.BadRequest("metric", metric, f"name one of: {names}")
 
 
-def merge_rows(
+def merge_histograms(
     rows: list[dict], metric: str
 ) -> dict[tuple[str, str], hdr.HdrHistogram]:
     """Add up rows of one metric by customer and class."""
@@ -127,7 +129,7 @@
     return merged
 
 
-def draw(total: hdr.HdrHistogram) -> str:
+def format_histogram(total: hdr.HdrHistogram) -> str:
     """A histogram as text: a line for each power of two."""
     bounds: list[int] = [1]
     while bounds[-1] < max(1, total.get_max_value()):
--- a/src/carawayward/commands/ledger.py
+++ b/src/carawayward/commands/ledger.py
@@ -147,7 +147,7 @@
         return None
 
 
-def add_up(
+def sum_by_customer(
     bills: typing.Iterable[billing.Bill],
 ) -> dict[str, dict[str, float]]:
     """Each customer's number of bills, tokens and cost."""
--- a/src/carawayward/commands/rollouts.py
+++ b/src/carawayward/commands/rollouts.py
@@ -26,7 +26,7 @@
             )
         return "\n".join(lines)
 
-    return access.with_log(log, run)
+    return access.run_with_log(log, run)
 
 
 def halt(rollout: str, log: str, reason: str = "halted by operator") -> str:
@@ -57,7 +57,7 @@
         )
         return f"{rollout} is halted"
 
-    return access.with_log(log, run)
+    return access.run_with_log(log, run)
 
 
 def resume(
@@ -92,7 +92,7 @@
             raise errors.PublishConflict(known.base, after.base)
         return f"{rollout} goes on at stage {stage}"
 
-    return access.with_log(log, run)
+    return access.run_with_log(log, run)
 
 
 async def read_state(client: log_module.LogClient) -> decisions.RolloutLog:
--- a/src/carawayward/console/access.py
+++ b/src/carawayward/console/authentication.py
@@ -13,11 +13,11 @@
 from carawayward import errors
 
 COOKIE = "carawayward-operator"
-LOGIN_LASTS_S = 8 * 3_600
+LOGIN_TTL_S = 8 * 3_600
 # Guesses at a key wait in one line, so that many connections try no more
 # keys a second than one does.
-GUESS_DELAY_S = 1.0
-NAME_MOST = 60
+FAILED_LOGIN_DELAY_S = 1.0
+MAX_NAME_CHARS = 60
 
 
 @attrs.frozen
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class Access:
+class Authenticator:
     """Checks logins against the operators' keys of the settings.
 
     The cookie is signed with those keys and holds all there is to know, so
@@ -39,7 +39,7 @@
     """
 
     keys: tuple[str, ...]
-    _guessing: trio.Lock = attrs.field(factory=trio.Lock)
+    _failed_login_lock: trio.Lock = attrs.field(factory=trio.Lock)
 
     def _signers(self) -> list[itsdangerous.URLSafeTimedSerializer]:
         return [
@@ -54,30 +54,30 @@
             for each in self.keys
         )
         if not good or not name or not name.isprintable():
-            async with self._guessing:
-                await trio.sleep(GUESS_DELAY_S)
+            async with self._failed_login_lock:
+                await trio.sleep(FAILED_LOGIN_DELAY_S)
             return None
-        identity = [name[:NAME_MOST], secrets.token_hex(16)]
+        identity = [name[:MAX_NAME_CHARS], secrets.token_hex(16)]
         token = self._signers()[0].dumps(identity)
         return token if isinstance(token, str) else token.decode()
 
-    def set_cookie(self, reply: responses.Response, token: str) -> None:
+    def set_cookie(self, response: responses.Response, token: str) -> None:
         """Give the browser its cookie."""
-        reply.set_cookie(
+        response.set_cookie(
             COOKIE,
             token,
-            max_age=LOGIN_LASTS_S,
+            max_age=LOGIN_TTL_S,
             path="/console",
             httponly=True,
             samesite="strict",
         )
 
-    def find_operator(self, request: http_requests.Request) -> Operator | None:
+    def get_operator(self, request: http_requests.Request) -> Operator | None:
         """Who sent a request, if logged in."""
         token = request.cookies.get(COOKIE, "")
         for signer in self._signers():
             try:
-                found = signer.loads(token, max_age=LOGIN_LASTS_S)
+                found = signer.loads(token, max_age=LOGIN_TTL_S)
             except itsdangerous.BadData:
                 continue
             match found:
--- a/src/carawayward/console/drafts.py
+++ b/src/carawayward/console/drafts.py
@@ -39,7 +39,7 @@
             ) from None
 
 
-def hide(draft: Draft) -> dict[str, str]:
+def make_hidden_fields(draft: Draft) -> dict[str, str]:
     """A draft as hidden fields of a form."""
     return {
         "base": str(draft.base),
@@ -55,7 +55,7 @@
     )
 
 
-def read_number(values: Values, name: str) -> int:
+def parse_number(values: Values, name: str) -> int:
     """A whole number of a hidden field."""
     text = values.get(name, [""])[0]
     if not text.isdecimal():
@@ -63,7 +63,7 @@
     return int(text)
 
 
-async def read_values(request: http_requests.Request) -> Values:
+async def read_form_values(request: http_requests.Request) -> Values:
     """A form's fields, within bounds of size and number."""
     body = bytearray()
     async for chunk in request.stream():
--- a/src/carawayward/console/forms.py
+++ b/src/carawayward/console/forms.py
@@ -72,7 +72,7 @@
     groups: list[Group]
 
 
-def read_type(kind: typing.Any) -> typing.Any:
+def unwrap_optional(kind: typing.Any) -> typing.Any:
     """A field's type without ``| None``."""
     if isinstance(kind, types.UnionType):
         inner = [a for a in typing.get_args(kind) if a is not type(None)]
@@ -80,7 +80,7 @@
     return kind
 
 
-def list_attributes(
+def list_fields(
     kind: type,
 ) -> list[tuple[str, typing.Any, bool]]:
     """Names, types and requiredness of a class's fields."""
@@ -91,23 +91,23 @@
     ]
 
 
-def find_item_type(section: str) -> type:
+def get_item_type(section: str) -> type:
     """The class of a section's things."""
     hints = typing.get_type_hints(declaration.Declaration)
     return typing.get_args(hints[section])[0]
 
 
 def make_form(
-    document: Plain, section: str, faults: typing.Mapping[str, str]
+    document: Plain, section: str, field_errors: typing.Mapping[str, str]
 ) -> ThingList:
     """The form of one section of a draft."""
     return _make_list(
-        find_item_type(section),
+        get_item_type(section),
         document.get(section) or [],
         section,
         section,
         document,
-        faults,
+        field_errors,
     )
 
 
@@ -117,10 +117,10 @@
     path: str,
     title: str,
     document: Plain,
-    faults: typing.Mapping[str, str],
+    field_errors: typing.Mapping[str, str],
 ) -> ThingList:
     groups = [
-        _make_group(kind, item, f"{path}.{index}", document, faults)
+        _make_group(kind, item, f"{path}.{index}", document, field_errors)
         for index, item in enumerate(items)
     ]
     return ThingList(path=path, title=title, groups=groups)
@@ -131,27 +131,31 @@
     item: Plain,
     path: str,
     document: Plain,
-    faults: typing.Mapping[str, str],
+    field_errors: typing.Mapping[str, str],
 ) -> Group:
     fields: list[Field] = []
     lists: list[ThingList] = []
-    for name, declared, _ in list_attributes(kind):
+    for name, declared, _ in list_fields(kind):
         inner = f"{path}.{name}"
         value = item.get(name)
-        hint = read_type(declared)
+        hint = unwrap_optional(declared)
         if attrs.has(hint):
             # A part that may be left out, such as a check: its own fields
             # stand among the others, and all empty means none.
-            nested = _make_group(hint, value or {}, inner, document, faults)
+            nested = _make_group(
+                hint, value or {}, inner, document, field_errors
+            )
             fields += nested.fields
         elif _is_thing_list(hint):
             of = typing.get_args(hint)[0]
             lists.append(
-                _make_list(of, value or [], inner, name, document, faults)
+                _make_list(
+                    of, value or [], inner, name, document, field_errors
+                )
             )
         else:
             fields.append(
-                _make_field(name, hint, value, inner, document, faults)
+                _make_field(name, hint, value, inner, document, field_errors)
             )
     title = str(item.get("name") or "new")
     return Group(path=path, title=title, fields=fields, lists=lists)
@@ -168,7 +172,7 @@
     value: Plain,
     path: str,
     document: Plain,
-    faults: typing.Mapping[str, str],
+    field_errors: typing.Mapping[str, str],
 ) -> Field:
     origin = typing.get_origin(hint)
     choices: tuple[str, ...] = ()
@@ -181,7 +185,10 @@
     elif hint in (int, float):
         kind = "number"
     elif origin is list and name in REFERENCES and name != "cascade":
-        kind, choices = "checks", list_names(document, REFERENCES[name])
+        kind, choices = (
+            "checks",
+            list_referable_names(document, REFERENCES[name]),
+        )
         shown = "\n".join(map(str, value or []))
     elif origin is list:
         kind, shown = "lines", "\n".join(map(str, value or []))
@@ -190,7 +197,7 @@
         shown = "\n".join(f"{k}: {v}" for k, v in (value or {}).items())
     elif name in REFERENCES:
         kind = "select"
-        choices = ("", *list_names(document, REFERENCES[name]))
+        choices = ("", *list_referable_names(document, REFERENCES[name]))
     return Field(
         path=path,
         label=name.replace("_", " "),
@@ -198,11 +205,11 @@
         value=shown,
         choices=choices,
         help=HELP.get(name, ""),
-        error=faults.get(path, ""),
+        error=field_errors.get(path, ""),
     )
 
 
-def list_names(document: Plain, what: str) -> tuple[str, ...]:
+def list_referable_names(document: Plain, what: str) -> tuple[str, ...]:
     """Names that a field may refer to."""
     if what == "versions":
         return tuple(
@@ -221,50 +228,58 @@
     The number of things is that of the draft that made the form. What
     cannot be read is kept as it was typed, so that nothing is lost.
     """
-    faults: dict[str, str] = {}
+    field_errors: dict[str, str] = {}
     items = [
         _read_group(
-            find_item_type(section), item, f"{section}.{index}", values, faults
+            get_item_type(section),
+            item,
+            f"{section}.{index}",
+            values,
+            field_errors,
         )
         for index, item in enumerate(document.get(section) or [])
     ]
-    return items, faults
+    return items, field_errors
 
 
 def _read_group(
-    kind: type, item: Plain, path: str, values: Values, faults: dict[str, str]
+    kind: type,
+    item: Plain,
+    path: str,
+    values: Values,
+    field_errors: dict[str, str],
 ) -> Plain:
     read: dict[str, Plain] = {}
-    for name, declared, required in list_attributes(kind):
+    for name, declared, required in list_fields(kind):
         inner = f"{path}.{name}"
-        hint = read_type(declared)
+        hint = unwrap_optional(declared)
         if attrs.has(hint):
-            part_faults: dict[str, str] = {}
+            nested_errors: dict[str, str] = {}
             part = _read_group(
-                hint, item.get(name) or {}, inner, values, part_faults
+                hint, item.get(name) or {}, inner, values, nested_errors
             )
             if part:
-                faults.update(part_faults)
+                field_errors.update(nested_errors)
                 read[name] = part
             continue
         if _is_thing_list(hint):
             of = typing.get_args(hint)[0]
             read[name] = [
-                _read_group(of, each, f"{inner}.{index}", values, faults)
+                _read_group(of, each, f"{inner}.{index}", values, field_errors)
                 for index, each in enumerate(item.get(name) or [])
             ]
             continue
         texts = [text.strip() for text in values.get(inner, [])]
         if not any(texts):
             if required and typing.get_origin(hint) is not list:
-                faults[inner] = "fill this in"
+                field_errors[inner] = "fill this in"
             elif typing.get_origin(hint) is list:
                 read[name] = []
             continue
         try:
             read[name] = read_value(hint, texts)
         except ValueError as fault:
-            faults[inner] = str(fault)
+            field_errors[inner] = str(fault)
             read[name] = texts[0]
     return read
 
@@ -292,7 +307,7 @@
     return texts[0]
 
 
-def find_path(document: Plain, field: str) -> str:
+def resolve_path(document: Plain, field: str) -> str:
     """The form's path of a field that an error names by names.
 
     ``customers.lekki-club.tasks`` and ``customers[2].tasks`` both become
--- a/src/carawayward/console/pages.py
+++ b/src/carawayward/console/pages.py
@@ -17,7 +17,7 @@
 from carawayward import blackboard as blackboard_module
 from carawayward import clock as clock_module
 from carawayward import comparison
-from carawayward.console import access as access_module
+from carawayward.console import authentication
 from carawayward.console import drafts
 from carawayward.console import forms
 from carawayward.console import overview
@@ -29,7 +29,7 @@
 from carawayward.services import log as log_module
 from carawayward import settings as settings_module
 
-FOLDER = pathlib.Path(__file__).parent
+CONSOLE_DIR = pathlib.Path(__file__).parent
 HEADERS = {
     "Content-Security-Policy": "default-src 'none'; style-src 'self'; "
     "form-action 'self'; base-uri 'none'; frame-ancestors 'none'",
@@ -39,7 +39,7 @@
 }
 
 Values = drafts.Values
-Reply = responses.Response
+Response = responses.Response
 
 
 @attrs.define
@@ -49,10 +49,10 @@
     board: blackboard_module.Blackboard
     clock: clock_module.Clock
     log: log_module.LogClient
-    access: access_module.Access
+    authenticator: authentication.Authenticator
     templates: jinja2.Environment = attrs.field(
         factory=lambda: jinja2.Environment(
-            loader=jinja2.FileSystemLoader(FOLDER / "templates"),
+            loader=jinja2.FileSystemLoader(CONSOLE_DIR / "templates"),
             autoescape=True,
             undefined=jinja2.StrictUndefined,
             trim_blocks=True,
@@ -70,54 +70,70 @@
     ) -> "Console":
         """Make the console of one entry VM."""
         keys = tuple(settings.keys.operators)
-        return cls(board, clock, log, access_module.Access(keys))
+        return cls(board, clock, log, authentication.Authenticator(keys))
 
     def make_routes(self) -> list[routing.BaseRoute]:
         """Routes for the operators' listener."""
         route = routing.Route
         post = ["POST"]
         return [
-            route("/", self.go_home),
-            route("/console", self.go_home),
+            route("/", self.redirect_to_overview),
+            route("/console", self.redirect_to_overview),
             route("/console/", self.show_overview),
-            route("/console/style.css", self.show_style),
+            route("/console/style.css", self.serve_stylesheet),
             route("/console/login", self.show_login, methods=["GET"]),
             route("/console/login", self.log_in, methods=post),
             route("/console/logout", self.log_out, methods=post),
-            route("/console/edit", self.begin_edit, methods=["GET"]),
-            route("/console/edit", self.guard(self.edit), methods=post),
-            route("/console/publish", self.guard(self.publish), methods=post),
-            route("/console/rebase", self.guard(self.rebase), methods=post),
+            route("/console/edit", self.start_edit, methods=["GET"]),
             route(
-                "/console/withdraw", self.guard(self.withdraw), methods=post
+                "/console/edit", self.require_login(self.edit), methods=post
+            ),
+            route(
+                "/console/publish",
+                self.require_login(self.publish),
+                methods=post,
+            ),
+            route(
+                "/console/rebase",
+                self.require_login(self.rebase),
+                methods=post,
+            ),
+            route(
+                "/console/withdraw",
+                self.require_login(self.withdraw),
+                methods=post,
+            ),
+            route(
+                "/console/rollout",
+                self.require_login(self.control_rollout),
+                methods=post,
             ),
-            route("/console/rollout", self.guard(self.steer), methods=post),
         ]
 
-    def guard(
+    def require_login(
         self,
         handle: typing.Callable[
-            [access_module.Operator, Values], typing.Awaitable[Reply]
+            [authentication.Operator, Values], typing.Awaitable[Response]
         ],
-    ) -> typing.Callable[[http_requests.Request], typing.Awaitable[Reply]]:
+    ) -> typing.Callable[[http_requests.Request], typing.Awaitable[Response]]:
         """Let only forms of a logged-in operator through."""
 
-        async def call(request: http_requests.Request) -> Reply:
-            operator = self.access.find_operator(request)
+        async def call(request: http_requests.Request) -> Response:
+            operator = self.authenticator.get_operator(request)
             if operator is None:
                 return self.redirect("/console/login")
             try:
-                values = await drafts.read_values(request)
-                access_module.check_form_token(operator, values)
+                values = await drafts.read_form_values(request)
+                authentication.check_form_token(operator, values)
                 return await handle(operator, values)
             except errors.CarawaywardError as fault:
-                return self.show_fault(operator, fault)
+                return self.show_error(operator, fault)
 
         return call
 
-    def show_fault(
-        self, operator: access_module.Operator, fault: errors.CarawaywardError
-    ) -> Reply:
+    def show_error(
+        self, operator: authentication.Operator, fault: errors.CarawaywardError
+    ) -> Response:
         """A page that says what went wrong and what to do."""
         title, text, status = "That cannot be done", str(fault), 400
         match fault:
@@ -132,7 +148,9 @@
             "message.html", status, operator=operator, title=title, text=text
         )
 
-    def render(self, name: str, status: int = 200, **values: object) -> Reply:
+    def render(
+        self, name: str, status: int = 200, **values: object
+    ) -> Response:
         """A page from a template."""
         values.setdefault("operator", None)
         text = self.templates.get_template(name).render(
@@ -140,45 +158,53 @@
         )
         return responses.HTMLResponse(text, status, HEADERS)
 
-    def redirect(self, path: str) -> Reply:
+    def redirect(self, path: str) -> Response:
         """Send the browser on by GET."""
         return responses.RedirectResponse(path, 303, HEADERS)
 
-    async def go_home(self, request: http_requests.Request) -> Reply:
+    async def redirect_to_overview(
+        self, request: http_requests.Request
+    ) -> Response:
         """The console's overview."""
         return self.redirect("/console/")
 
-    async def show_style(self, request: http_requests.Request) -> Reply:
+    async def serve_stylesheet(
+        self, request: http_requests.Request
+    ) -> Response:
         """The one style sheet."""
-        text = (FOLDER / "static" / "style.css").read_text(encoding="utf-8")
+        text = (CONSOLE_DIR / "static" / "style.css").read_text(
+            encoding="utf-8"
+        )
         return responses.Response(text, media_type="text/css")
 
-    async def show_login(self, request: http_requests.Request) -> Reply:
+    async def show_login(self, request: http_requests.Request) -> Response:
         """The login form."""
         return self.render("login.html", fault="")
 
-    async def log_in(self, request: http_requests.Request) -> Reply:
+    async def log_in(self, request: http_requests.Request) -> Response:
         """Check the key and give a cookie."""
-        values = await drafts.read_values(request)
+        values = await drafts.read_form_values(request)
         name = values.get("name", [""])[0].strip()
-        token = await self.access.log_in(name, values.get("key", [""])[0])
+        token = await self.authenticator.log_in(
+            name, values.get("key", [""])[0]
+        )
         if token is None:
             events.log_event(events.Event.LOGIN_REFUSED)
             fault = "Write your name and a key of keys.operators."
             return self.render("login.html", 401, fault=fault)
-        reply = self.redirect("/console/")
-        self.access.set_cookie(reply, token)
-        return reply
+        response = self.redirect("/console/")
+        self.authenticator.set_cookie(response, token)
+        return response
 
-    async def log_out(self, request: http_requests.Request) -> Reply:
+    async def log_out(self, request: http_requests.Request) -> Response:
         """Forget the cookie."""
-        reply = self.redirect("/console/login")
-        reply.delete_cookie(access_module.COOKIE, path="/console")
-        return reply
+        response = self.redirect("/console/login")
+        response.delete_cookie(authentication.COOKIE, path="/console")
+        return response
 
-    async def show_overview(self, request: http_requests.Request) -> Reply:
+    async def show_overview(self, request: http_requests.Request) -> Response:
         """What is in force, who has it, and how roll-outs stand."""
-        operator = self.access.find_operator(request)
+        operator = self.authenticator.get_operator(request)
         if operator is None:
             return self.redirect("/console/login")
         return self.render(
@@ -187,17 +213,17 @@
             view=overview.describe(self.board, self.clock.now_ms()),
         )
 
-    async def begin_edit(self, request: http_requests.Request) -> Reply:
+    async def start_edit(self, request: http_requests.Request) -> Response:
         """The first form of a new draft of what is in force."""
-        operator = self.access.find_operator(request)
+        operator = self.authenticator.get_operator(request)
         if operator is None:
             return self.redirect("/console/login")
         if self.board.config is None:
             return self.redirect("/console/")
         section = request.query_params.get("section", forms.SECTIONS[0])
-        return self.show_section(operator, self.draw(), section, {})
+        return self.show_section(operator, self.make_draft(), section, {})
 
-    def draw(self) -> drafts.Draft:
+    def make_draft(self) -> drafts.Draft:
         """A draft of the document in force."""
         config = self.board.config
         if config is None:
@@ -211,37 +237,39 @@
 
     def show_section(
         self,
-        operator: access_module.Operator,
+        operator: authentication.Operator,
         draft: drafts.Draft,
         section: str,
-        faults: dict[str, str],
+        field_errors: dict[str, str],
         notice: str = "",
-    ) -> Reply:
+    ) -> Response:
         """One section's form; status 422 if something is at fault."""
         if section not in forms.SECTIONS:
             section = forms.SECTIONS[0]
         return self.render(
             "section.html",
-            422 if faults or notice else 200,
+            422 if field_errors or notice else 200,
             operator=operator,
             draft=draft,
-            hidden=drafts.hide(draft),
+            hidden=drafts.make_hidden_fields(draft),
             sections=forms.SECTIONS,
             section=section,
-            form=forms.make_form(draft.document, section, faults),
-            faults=faults,
+            form=forms.make_form(draft.document, section, field_errors),
+            field_errors=field_errors,
             notice=notice,
         )
 
     async def edit(
-        self, operator: access_module.Operator, values: Values
-    ) -> Reply:
+        self, operator: authentication.Operator, values: Values
+    ) -> Response:
         """Take in what was filled in, then do what the button says."""
         draft = drafts.Draft.from_form(values)
         section = values.get("section", [""])[0]
-        faults: dict[str, str] = {}
+        field_errors: dict[str, str] = {}
         if section in forms.SECTIONS:
-            items, faults = forms.read_form(draft.document, section, values)
+            items, field_errors = forms.read_form(
+                draft.document, section, values
+            )
             draft = attrs.evolve(
                 draft, document={**draft.document, section: items}
             )
@@ -254,9 +282,9 @@
                     "do", subject, "use the form's own buttons"
                 ) from None
             return self.show_section(operator, draft, section, {})
-        if faults:
+        if field_errors:
             return self.show_section(
-                operator, draft, section, faults, "Some fields need you."
+                operator, draft, section, field_errors, "Some fields need you."
             )
         if action == "goto":
             return self.show_section(operator, draft, subject, {})
@@ -264,15 +292,15 @@
 
     def review(
         self,
-        operator: access_module.Operator,
+        operator: authentication.Operator,
         draft: drafts.Draft,
         clashes: typing.Sequence[str] = (),
-    ) -> Reply:
+    ) -> Response:
         """Show a whole draft as a difference, or what is wrong with it."""
         try:
             document = drafts.normalize(draft.document)
         except errors.DeclarationError as fault:
-            path = forms.find_path(draft.document, fault.field)
+            path = forms.resolve_path(draft.document, fault.field)
             return self.show_section(
                 operator,
                 draft,
@@ -285,14 +313,14 @@
             "review.html",
             operator=operator,
             draft=draft,
-            hidden=drafts.hide(draft),
+            hidden=drafts.make_hidden_fields(draft),
             changes=comparison.list_changes(draft.origin, document),
             clashes=clashes,
         )
 
     async def publish(
-        self, operator: access_module.Operator, values: Values
-    ) -> Reply:
+        self, operator: authentication.Operator, values: Values
+    ) -> Response:
         """Publish a draft against the revision that it was drawn from."""
         draft = drafts.Draft.from_form(values)
         document = drafts.normalize(draft.document)
@@ -311,10 +339,10 @@
 
     async def show_conflict(
         self,
-        operator: access_module.Operator,
+        operator: authentication.Operator,
         draft: drafts.Draft,
         fault: errors.PublishConflict,
-    ) -> Reply:
+    ) -> Response:
         """Another operator was first: both changes, and the way on."""
         state = await configuration.read_state(self.log)
         current = drafts.normalize(state.document or {})
@@ -323,37 +351,37 @@
             409,
             operator=operator,
             draft=draft,
-            hidden=drafts.hide(draft),
+            hidden=drafts.make_hidden_fields(draft),
             fault=fault,
             theirs=comparison.list_changes(draft.origin, current),
             mine=comparison.list_changes(draft.origin, draft.document),
         )
 
     async def rebase(
-        self, operator: access_module.Operator, values: Values
-    ) -> Reply:
+        self, operator: authentication.Operator, values: Values
+    ) -> Response:
         """Take a draft's changes over onto what is now in force."""
         draft = drafts.Draft.from_form(values)
         state = await configuration.read_state(self.log)
         current = drafts.normalize(state.document or {})
         merged = comparison.take_over(draft.origin, draft.document, current)
-        renewed = drafts.Draft(
+        rebased = drafts.Draft(
             base=state.revision, origin=current, document=merged.document
         )
-        return self.review(operator, renewed, merged.clashes)
+        return self.review(operator, rebased, merged.clashes)
 
     async def withdraw(
-        self, operator: access_module.Operator, values: Values
-    ) -> Reply:
+        self, operator: authentication.Operator, values: Values
+    ) -> Response:
         """Show the withdrawal of a version, to be published."""
-        draft = self.draw()
+        draft = self.make_draft()
         version = values.get("version", [""])[0]
         document = comparison.withdraw(draft.document, version)
         return self.review(operator, attrs.evolve(draft, document=document))
 
-    async def steer(
-        self, operator: access_module.Operator, values: Values
-    ) -> Reply:
+    async def control_rollout(
+        self, operator: authentication.Operator, values: Values
+    ) -> Response:
         """Halt a roll-out, or let a halted one go on from a stage."""
         name = values.get("rollout", [""])[0]
         trials = self.board.quality.trials.values()
@@ -373,8 +401,8 @@
         else:
             record = rollout_decisions.Resume(
                 rollout=name,
-                base=drafts.read_number(values, "base"),
-                stage=drafts.read_number(values, "stage"),
+                base=drafts.parse_number(values, "base"),
+                stage=drafts.parse_number(values, "stage"),
                 operator=operator.name,
             )
         await self.log.append(
--- a/tests/common/browser.py
+++ b/tests/common/browser.py
@@ -28,13 +28,13 @@
         return next(value for known, value in self.fields if known == name)
 
 
-class _Reader(html.parser.HTMLParser):
+class _FormParser(html.parser.HTMLParser):
     """Collects a page's forms."""
 
     def __init__(self) -> None:
         super().__init__()
         self.forms: list[Form] = []
-        self.area = ""
+        self.textarea = ""
         self.text = ""
         self.select = ""
 
@@ -42,40 +42,42 @@
         self, tag: str, attributes: list[tuple[str, str | None]]
     ) -> None:
         """Note forms and their fields."""
-        given = {name: value or "" for name, value in attributes}
+        tag_attrs = {name: value or "" for name, value in attributes}
         if tag == "form":
             self.forms.append(
-                Form(given.get("action", ""), given.get("method", "get"))
+                Form(
+                    tag_attrs.get("action", ""), tag_attrs.get("method", "get")
+                )
             )
         if not self.forms:
             return
         form = self.forms[-1]
         if tag == "input":
-            unticked = given.get("type") == "checkbox" and "checked" not in (
-                given
-            )
-            if not unticked:
-                value = given.get("value", "")
-                form.fields.append((given.get("name", ""), value))
+            unchecked = tag_attrs.get(
+                "type"
+            ) == "checkbox" and "checked" not in (tag_attrs)
+            if not unchecked:
+                value = tag_attrs.get("value", "")
+                form.fields.append((tag_attrs.get("name", ""), value))
         elif tag == "button":
-            form.buttons.append(given)
+            form.buttons.append(tag_attrs)
         elif tag == "textarea":
-            self.area, self.text = given.get("name", ""), ""
+            self.textarea, self.text = tag_attrs.get("name", ""), ""
         elif tag == "select":
-            self.select = given.get("name", "")
-        elif tag == "option" and "selected" in given:
-            form.fields.append((self.select, given.get("value", "")))
+            self.select = tag_attrs.get("name", "")
+        elif tag == "option" and "selected" in tag_attrs:
+            form.fields.append((self.select, tag_attrs.get("value", "")))
 
     def handle_data(self, data: str) -> None:
         """Collect a text area's content."""
-        if self.area:
+        if self.textarea:
             self.text += data
 
     def handle_endtag(self, tag: str) -> None:
         """Finish a text area."""
-        if tag == "textarea" and self.area:
-            self.forms[-1].fields.append((self.area, self.text))
-            self.area = ""
+        if tag == "textarea" and self.textarea:
+            self.forms[-1].fields.append((self.textarea, self.text))
+            self.textarea = ""
 
 
 @attrs.define
@@ -89,7 +91,7 @@
 
     def find_form(self, action: str) -> Form:
         """The page's form with this action."""
-        reader = _Reader()
+        reader = _FormParser()
         reader.feed(self.text)
         return next(f for f in reader.forms if f.action == action)
 
@@ -105,7 +107,7 @@
         """Follow a link."""
         return self._call("GET", path, None)
 
-    def press(self, form: Form, button: str) -> Page:
+    def submit(self, form: Form, button: str) -> Page:
         """Press a form's button, found by its value or ``formaction``."""
         fields = list(form.fields)
         action = form.action
@@ -124,15 +126,15 @@
         form = self.open("/console/login").find_form("/console/login")
         form.set("name", name)
         form.set("key", key)
-        return self.press(form, "")
+        return self.submit(form, "")
 
     def _call(self, method: str, path: str, body: str | None) -> Page:
-        jar = "; ".join(f"{k}={v}" for k, v in self.cookies.items())
-        sent: dict[str, typing.Any] = {"Cookie": jar}
+        cookie_header = "; ".join(f"{k}={v}" for k, v in self.cookies.items())
+        sent: dict[str, typing.Any] = {"Cookie": cookie_header}
         if body is not None:
             sent["Content-Type"] = "application/x-www-form-urlencoded"
         with httpcore.ConnectionPool() as pool:
-            reply = pool.request(
+            response = pool.request(
                 method,
                 f"http://{self.address}{path}",
                 headers=list(sent.items()),
@@ -141,11 +143,11 @@
             )
         headers = {
             name.decode().lower(): value.decode("latin-1")
-            for name, value in reply.headers
+            for name, value in response.headers
         }
         if "set-cookie" in headers:
             name, _, rest = headers["set-cookie"].partition("=")
             self.cookies[name] = rest.partition(";")[0]
-        if reply.status == 303:
+        if response.status == 303:
             return self._call("GET", headers["location"], None)
-        return Page(reply.status, reply.content.decode(), path, headers)
+        return Page(response.status, response.content.decode(), path, headers)
--- a/tests/cover/test_billing.py
+++ b/tests/cover/test_billing.py
@@ -75,7 +75,7 @@
         assert ledger.add([make_bill("a"), make_bill("b")], 5, 0) == 1
         found = list(open_ledger(folder).read())
         assert found == [make_bill("a"), make_bill("b")]
-        assert ledger_module.add_up(found)["families"]["cost"] == 2.0
+        assert ledger_module.sum_by_customer(found)["families"]["cost"] == 2.0
 
 
 def test_export_that_crashed_before_its_checkpoint_is_done_again():
--- a/tests/cover/test_console.py
+++ b/tests/cover/test_console.py
@@ -37,10 +37,10 @@
         document = read_example(user)
         for section in forms.SECTIONS:
             form = forms.make_form(document, section, {})
-            items, faults = forms.read_form(
+            items, field_errors = forms.read_form(
                 document, section, list_values(form)
             )
-            assert faults == {}
+            assert field_errors == {}
             again = declaration.Declaration.from_config(
                 {**document, section: items}
             )
@@ -54,16 +54,16 @@
     form = forms.make_form(document, "customers", {})
     values = list_values(form)
     values["customers.10.weight"] = ["heavy"]
-    items, faults = forms.read_form(document, "customers", values)
-    assert faults["customers.10.name"] == "fill this in"
-    assert faults["customers.10.weight"] == "write a number"
+    items, field_errors = forms.read_form(document, "customers", values)
+    assert field_errors["customers.10.name"] == "fill this in"
+    assert field_errors["customers.10.weight"] == "write a number"
     assert items[10]["weight"] == "heavy"
 
 
 def test_fault_of_the_checker_is_shown_at_its_field():
     """Errors name things by name or by place; forms know places only."""
     document = read_example("oduya")
-    find = forms.find_path
+    find = forms.resolve_path
     assert find(document, "customers.lekki-club.tasks") == "customers.2.tasks"
     assert find(document, "models[1].versions[0].cost") == (
         "models.1.versions.0.cost"
--- a/tests/cover/test_forwarding_explain.py
+++ b/tests/cover/test_forwarding_explain.py
@@ -32,7 +32,7 @@
 
 def test_lines_of_a_request_are_told_in_order():
     """Two entry VMs and a stranger wrote lines; one request is asked for."""
-    rows = explain.tell("0042", LINES)
+    rows = explain.format_request_log("0042", LINES)
     assert len(rows) == 2
     assert "+     0 ms" in rows[0]
     assert "attempt_ended: endpoint=i-1, outcome=Unreached, runs=0" in rows[0]
--- a/tests/failures/test_quality_console.py
+++ b/tests/failures/test_quality_console.py
@@ -62,7 +62,7 @@
     _, form = edit(operator, "customers")
     forged = [each for each in form.fields if each[0] != "form_token"]
     form.fields = [*forged, ("form_token", "0" * 32)]
-    assert operator.press(form, "review:").status == 403
+    assert operator.submit(form, "review:").status == 403
     page = operator.open("/console/")
     assert "script" not in page.text
     assert "default-src 'none'" in page.headers["content-security-policy"]
@@ -73,13 +73,13 @@
     """A new customer without a name cannot be published."""
     operator = open_console(running, 0, "ada")
     _, form = edit(operator, "customers")
-    page = operator.press(form, "add:customers")
-    page = operator.press(page.find_form("/console/edit"), "review:")
+    page = operator.submit(form, "add:customers")
+    page = operator.submit(page.find_form("/console/edit"), "review:")
     assert page.status == 422 and "fill this in" in page.text
     form = page.find_form("/console/edit")
     form.set("customers.10.name", "agege-schools")
     form.set("customers.10.weight", "-1")
-    page = operator.press(form, "review:")
+    page = operator.submit(form, "review:")
     assert page.status == 422 and "write a weight above 0" in page.text
     assert "/console/publish" not in page.text
 
@@ -92,18 +92,18 @@
     _, second = edit(bayo, "tasks")
     first.set("customers.1.weight", "9")
     second.set("tasks.0.deadline_ms", "15000")
-    review = ada.press(first, "review:")
+    review = ada.submit(first, "review:")
     assert "customers.yaba-schools.weight" in review.text
-    late = bayo.press(second, "review:")
-    done = ada.press(review.find_form("/console/publish"), "")
+    late = bayo.submit(second, "review:")
+    done = ada.submit(review.find_form("/console/publish"), "")
     assert done.path == "/console/" and done.status == 200
-    conflict = bayo.press(late.find_form("/console/publish"), "")
+    conflict = bayo.submit(late.find_form("/console/publish"), "")
     assert conflict.status == 409
     assert "customers.yaba-schools.weight" in conflict.text
-    taken = bayo.press(conflict.find_form("/console/rebase"), "")
+    taken = bayo.submit(conflict.find_form("/console/rebase"), "")
     assert "tasks.swap-suggestion.deadline_ms" in taken.text
     assert "customers.yaba-schools" not in taken.text.partition("<form")[0]
-    bayo.press(taken.find_form("/console/publish"), "")
+    bayo.submit(taken.find_form("/console/publish"), "")
     document = read_document(running)["document"]
     assert document["customers"][1]["weight"] == 9.0
     assert document["tasks"][0]["deadline_ms"] == 15_000
@@ -129,10 +129,10 @@
     page = operator.open("/console/")
     form = page.find_form("/console/withdraw")
     form.buttons = [{"name": "version", "value": "sorter-4"}]
-    review = operator.press(form, "sorter-4")
+    review = operator.submit(form, "sorter-4")
     assert "models.sorter.versions.sorter-4.state" in review.text
     assert "rollouts" in review.text
-    operator.press(review.find_form("/console/publish"), "")
+    operator.submit(review.find_form("/console/publish"), "")
     versions = read_document(running)["document"]["models"][0]["versions"]
     assert versions[1]["state"] == "withdrawn"
 
