--- a/src/carawayward/command.py
+++ b/src/carawayward/command.py
@@ -1,4 +1,4 @@
-"""carawaywardctl: the operators' tool."""
+"""Entry point of carawaywardctl, the operators' command-line tool."""
 
 import sys
 import typing
@@ -20,7 +20,7 @@
 
 
 def main() -> None:
-    """Entry point of carawaywardctl."""
+    """Run one command; exit with a code that scripts can tell apart."""
     commands = {
         "check": declarations.check,
         "diff": declarations.diff,
@@ -46,14 +46,15 @@
     try:
         fire.Fire(commands, name="carawaywardctl")
     except errors.PublishConflict as fault:
-        _end(fault, EXIT_CONFLICT)
+        _exit_with_error(fault, EXIT_CONFLICT)
     except (errors.PlatformUnavailable, errors.PublishUnknown) as fault:
-        _end(fault, EXIT_UNAVAILABLE)
+        _exit_with_error(fault, EXIT_UNAVAILABLE)
     except errors.CarawaywardError as fault:
-        _end(fault, EXIT_REFUSED)
+        _exit_with_error(fault, EXIT_REFUSED)
 
 
-def _end(fault: Exception, code: int) -> typing.NoReturn:
+def _exit_with_error(fault: Exception, code: int) -> typing.NoReturn:
+    """Print the error on standard error and exit."""
     print(fault, file=sys.stderr)
     raise SystemExit(code)
 
--- a/src/carawayward/commands/__init__.py
+++ b/src/carawayward/commands/__init__.py
@@ -1,1 +1,1 @@
-"""What carawaywardctl does, a module for each concern."""
+"""The commands of carawaywardctl, grouped by subject."""
--- a/src/carawayward/commands/access.py
+++ b/src/carawayward/commands/access.py
@@ -1,4 +1,4 @@
-"""How commands reach the platform."""
+"""Access of commands to the platform's log."""
 
 import typing
 
@@ -11,7 +11,12 @@
     url: str,
     run: typing.Callable[[log_module.LogClient], typing.Awaitable],
 ) -> typing.Any:
-    """Call ``run`` with a client of the log at ``url``."""
+    """Run an async function with a log client, and close the client.
+
+    Args:
+        url: base URL of the platform's log.
+        run: called with the client; its result is returned.
+    """
 
     async def call() -> typing.Any:
         client = log_module.LogClient.from_config(url)
--- a/src/carawayward/commands/bills.py
+++ b/src/carawayward/commands/bills.py
@@ -1,4 +1,4 @@
-"""Commands about bills."""
+"""Commands that read bills from the log and export them to a file."""
 
 import json
 
@@ -11,7 +11,11 @@
 
 
 def bills(log: str) -> str:
-    """Print each customer's number of bills and total cost."""
+    """Print each customer's number of bills and total cost.
+
+    Args:
+        log: base URL of the platform's log.
+    """
 
     async def run(client: log_module.LogClient) -> str:
         totals: dict[str, list[float]] = {}
@@ -25,14 +29,15 @@
 
 
 def export(log: str, file: str) -> str:
-    """Add the log's new bills to a ledger file.
+    """Append the bills that are new in the log to a ledger file.
 
-    Run it more often than a quarter of the log's retention; a run that
-    comes too late names the offsets that it missed and fails.
+    Run this more often than every quarter of the log's retention. If
+    records expired before they were exported, the command reports their
+    offsets and fails.
 
     Args:
         log: base URL of the platform's log.
-        file: the ledger; its checkpoint is kept beside it.
+        file: path of the ledger; its checkpoint file is kept next to it.
     """
     ledger = ledger_module.Ledger.from_file(file)
     missed = len(ledger.checkpoint.gaps)
@@ -44,35 +49,43 @@
     for gap in ledger.checkpoint.gaps[missed:]:
         raise errors.LedgerError(
             file,
-            f"offsets {gap.first} to {gap.last} had left the log",
-            f"the other {added} bills were exported; look for the missing "
-            "ones in the entry VMs' events, and export more often",
+            f"offsets {gap.first} to {gap.last} expired from the log",
+            f"the other {added} bills were exported; recover the missing "
+            "ones from the entry VMs' events, and export more often",
         )
     return f"{added} bills added, {ledger.checkpoint.bills} in all"
 
 
 def totals(file: str) -> str:
-    """Print each customer's totals of an exported ledger."""
+    """Print each customer's totals in an exported ledger.
+
+    Args:
+        file: path of the ledger.
+    """
     ledger = ledger_module.Ledger.from_file(file)
     found = ledger_module.sum_by_customer(ledger.read())
     return json.dumps(found, indent=2, sort_keys=True)
 
 
 def check(file: str) -> str:
-    """Check an exported ledger: whole lines, no doubles, no gaps."""
+    """Check an exported ledger for damaged lines, duplicates and gaps.
+
+    Args:
+        file: path of the ledger.
+    """
     ledger = ledger_module.Ledger.from_file(file)
     count = sum(1 for _ in ledger.read())
     if count != ledger.checkpoint.bills:
         raise errors.LedgerError(
             file,
             f"{count} lines for {ledger.checkpoint.bills} bills",
-            "a bill stands in it twice; restore the file from a backup",
+            "the file contains a bill twice; restore it from a backup",
         )
     for gap in ledger.checkpoint.gaps:
         raise errors.LedgerError(
             file,
             f"offsets {gap.first} to {gap.last} are missing",
-            "look for their bills in the entry VMs' events",
+            "recover their bills from the entry VMs' events",
         )
     return f"{count} bills, each once, with no gap"
 
@@ -84,17 +97,17 @@
 async def export_new_bills(
     client: log_module.LogClient, ledger: ledger_module.Ledger
 ) -> int:
-    """Read on from the checkpoint to the tail; return how many were new."""
+    """Export all bills after the checkpoint; return how many were new."""
     added = 0
     while True:
         offset = ledger.checkpoint.next_offset
         batch = await client.read(billing_controller.STREAM, offset)
         decoded = [billing.decode(item.data) for item in batch.records]
         found = [bill for bill in decoded if bill is not None]
-        gap = batch.oldest if batch.oldest > offset else 0
+        oldest_offset = batch.oldest if batch.oldest > offset else 0
         resume_offset = max(batch.next_offset, batch.oldest)
-        if batch.records or gap:
-            added += ledger.add(found, resume_offset, gap)
+        if batch.records or oldest_offset:
+            added += ledger.add(found, resume_offset, oldest_offset)
         if not batch.records:
             return added
 
@@ -102,7 +115,7 @@
 async def read_bills(
     client: log_module.LogClient,
 ) -> dict[tuple[str, str], billing.Bill]:
-    """Fold all bills that the log holds."""
+    """Read all bills in the log, one per key."""
     found: list[billing.Bill] = []
     offset = 1
     while True:
--- a/src/carawayward/commands/declarations.py
+++ b/src/carawayward/commands/declarations.py
@@ -1,7 +1,7 @@
-"""Commands about declarations, for people and for scripts.
+"""Commands that check, compare and publish declarations.
 
-Exit codes: 0 done, 1 refused or invalid, 2 wrong usage, 3 another publish
-was first, 4 the platform gave no answer.
+Their exit codes are for scripts: 0 done, 1 refused or invalid, 2 wrong
+usage, 3 another publish took effect first, 4 no answer from the platform.
 """
 
 import json
@@ -26,7 +26,11 @@
 
 
 def check(*files: str) -> str:
-    """Check declarations without publishing them."""
+    """Validate declarations without publishing them.
+
+    Args:
+        files: the YAML documents.
+    """
     if not files:
         raise errors.BadRequest("files", "none", "name at least one file")
     for file in files:
@@ -35,7 +39,7 @@
 
 
 def diff(file: str, log: str) -> str:
-    """Print how a file differs from what is in force.
+    """Print how a file differs from the configuration in force.
 
     Args:
         file: the YAML document.
@@ -60,32 +64,32 @@
     Args:
         file: the YAML document.
         log: base URL of the platform's log.
-        base: revision that the document was drawn from; by default the one
+        base: revision that the document is based on; by default the one
             in force now.
-        operator: who publishes.
+        operator: name recorded as the publisher.
     """
     document = read_document(file)
 
     async def run(client: log_module.LogClient) -> int:
-        drawn_from = base
-        if drawn_from is None:
+        based_on = base
+        if based_on is None:
             state = await publishing.read_state(client)
-            drawn_from = state.revision
-        return await publishing.publish(client, document, drawn_from, operator)
+            based_on = state.revision
+        return await publishing.publish(client, document, based_on, operator)
 
     return f"revision {access.run_with_log(log, run)} is in the log"
 
 
 def confirm(node: str, key: str = "", wait_s: float = 0.0) -> str:
-    """Print where each entry VM stands with the revision in force.
+    """Print whether each entry VM has confirmed the revision in force.
 
-    Fails while any is still waiting: neither has it confirmed, nor has its
-    freshness lease passed.
+    Fails while any entry VM is waiting, which means that it has not
+    confirmed the revision and its freshness lease has not expired.
 
     Args:
-        node: the operators' address of an entry VM, ip:port.
+        node: address of an entry VM's operators' listener, ip:port.
         key: operators' key; by default from CARAWAYWARD_OPERATOR_KEY.
-        wait_s: wait up to this long for the last ones.
+        wait_s: how many seconds to wait for all entry VMs.
     """
     deadline = time.monotonic() + wait_s
     while True:
@@ -103,12 +107,12 @@
 
 
 def withdraw(version: str, log: str, operator: str = "operator") -> str:
-    """Withdraw a version: publish what is in force without it.
+    """Publish the document in force with one version withdrawn.
 
     Args:
-        version: the version's name.
+        version: name of the version.
         log: base URL of the platform's log.
-        operator: who publishes.
+        operator: name recorded as the publisher.
     """
 
     async def run(client: log_module.LogClient) -> int:
@@ -127,15 +131,15 @@
     restore_withdrawn: bool = False,
     operator: str = "operator",
 ) -> str:
-    """Publish an earlier document again, as a new revision.
+    """Publish an earlier document as a new revision.
 
     Args:
         log: base URL of the platform's log.
-        to: the revision whose document is wanted; by default the one
-            before that in force.
-        restore_withdrawn: also bring back versions that were withdrawn
-            since; without it such a rollback is refused.
-        operator: who publishes.
+        to: revision to roll back to; by default the one before the
+            revision in force.
+        restore_withdrawn: allow a rollback that restores versions which
+            were withdrawn since; without it such a rollback is refused.
+        operator: name recorded as the publisher.
     """
 
     async def run(client: log_module.LogClient) -> int:
@@ -149,7 +153,11 @@
 
 
 def show(log: str) -> str:
-    """Print the configuration in force, as the log has it."""
+    """Print the configuration in force according to the log.
+
+    Args:
+        log: base URL of the platform's log.
+    """
 
     async def run(client: log_module.LogClient) -> str:
         state = await publishing.read_state(client)
@@ -161,12 +169,16 @@
 
 
 def digest(key: str) -> str:
-    """Print the form in which a customer's key stands in a declaration."""
+    """Print the digest of a customer's key, for use in a declaration.
+
+    Args:
+        key: the key that the customer sends.
+    """
     return declaration.digest_key(key)
 
 
 def read_document(file: str) -> dict:
-    """Read and check a declaration file."""
+    """Read and validate a declaration file; write out every default."""
     try:
         text = pathlib.Path(file).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as cause:
@@ -177,7 +189,7 @@
 
 
 def normalize(document: dict | None) -> typing.Any:
-    """A document in force with every default written out."""
+    """Return a document with every default written out; {} for None."""
     if document is None:
         return {}
     return declaration.unstructure(
@@ -186,7 +198,7 @@
 
 
 async def read_history(client: log_module.LogClient) -> History:
-    """Every revision that the log still holds, oldest first."""
+    """Read every revision that the log still holds, oldest first."""
     batch = await client.read(config_log.STREAM, 1)
     state = config_log.start_reading(batch.oldest)
     history: History = []
@@ -203,7 +215,7 @@
 
 
 def select_document(history: History, to: int | None) -> tuple[int, dict]:
-    """The revision in force, and the document to publish again."""
+    """Return the revision in force, and the document to roll back to."""
     known = [revision for revision, _ in history]
     if len(known) < 2 and to is None:
         raise errors.DeclarationError(
@@ -214,25 +226,25 @@
         if revision == wanted:
             return known[-1], document
     raise errors.DeclarationError(
-        "rollback.to", to, f"name a revision of the log: {known}"
+        "rollback.to", to, f"name a revision that the log holds: {known}"
     )
 
 
 def check_no_version_restored(current: dict, earlier: dict) -> None:
-    """Refuse a rollback that would bring a withdrawn version back."""
+    """Raise DeclarationError if a rollback restores a withdrawn version."""
     withdrawn = list_withdrawn(current)
     restored = sorted(withdrawn - list_withdrawn(earlier))
     if restored:
         raise errors.DeclarationError(
             "rollback",
             restored,
-            "these were withdrawn since; add --restore_withdrawn to bring "
-            "them back as well",
+            "these versions were withdrawn since; add --restore_withdrawn to "
+            "restore them as well",
         )
 
 
 def list_withdrawn(document: dict) -> set[str]:
-    """Names of a document's withdrawn versions."""
+    """Return the names of a document's withdrawn versions."""
     return {
         version["name"]
         for model in document["models"]
--- a/src/carawayward/commands/doctor.py
+++ b/src/carawayward/commands/doctor.py
@@ -1,4 +1,4 @@
-"""carawaywardctl doctor: what is wrong with this entry VM's surroundings."""
+"""carawaywardctl doctor: checks what an entry VM depends on."""
 
 import email.utils
 import json
@@ -14,13 +14,13 @@
 from carawayward import settings as settings_module
 
 TIMEOUT_S = 3.0
-# Tickets and claims judge age by the wall clock with 5 s of allowed skew.
+# Tickets and claims compare wall clocks and allow for 5 s of skew.
 MAX_SKEW_S = 2.5
 
 
 @attrs.frozen
 class Finding:
-    """One check: what was looked at, whether it is well, what to do."""
+    """Result of one check; the remedy is for a failed one."""
 
     subject: str
     good: bool
@@ -29,9 +29,9 @@
 
 
 def doctor(settings: str) -> str:
-    """Check settings, platform, peers, clocks and endpoints.
+    """Check an entry VM's settings, platform, clock, peers and endpoints.
 
-    Prints a line a check; exits with 1 when something needs a hand.
+    Prints one line per check. Exits with 1 if a check fails.
 
     Args:
         settings: path of an entry VM's settings file.
@@ -49,7 +49,7 @@
 
 
 def format_finding(finding: Finding) -> str:
-    """A finding as a line, with what to do when it is bad."""
+    """Format a finding as a line, and its remedy as a second one."""
     mark = "ok  " if finding.good else "BAD "
     remedy = f"\n     -> {finding.remedy}" if finding.remedy else ""
     return f"{mark} {finding.subject}: {finding.detail}{remedy}"
@@ -58,7 +58,7 @@
 def check_addresses(
     settings: settings_module.Settings,
 ) -> typing.Iterator[Finding]:
-    """Whether each listener's address is this machine's."""
+    """Check that each listener's address belongs to this machine."""
     listen = settings.listen
     for name in ("callers", "peers", "operators"):
         address = getattr(listen, name)
@@ -71,7 +71,7 @@
                 f"listen.{name}",
                 False,
                 f"{address}: {fault.strerror}",
-                "write an address that this machine has",
+                "use an address of this machine",
             )
         else:
             yield Finding(f"listen.{name}", True, address)
@@ -80,7 +80,7 @@
 def check_platform(
     settings: settings_module.Settings,
 ) -> typing.Iterator[Finding]:
-    """Whether each platform service answers, and its clock agrees."""
+    """Check that platform services answer and that clocks agree."""
     probes = {
         "log": "/streams/configuration/records?from=1&limit=1&wait_ms=0",
         "vms": "/vms",
@@ -96,7 +96,7 @@
 
 
 def probe_service(subject: str, url: str) -> typing.Iterator[Finding]:
-    """One service's answer and the offset of its clock."""
+    """Check a service's status and, if it sends a Date, its clock."""
     try:
         response = fetch(url)
     except (httpcore.NetworkError, httpcore.TimeoutException) as fault:
@@ -104,14 +104,14 @@
             subject,
             False,
             f"no answer ({type(fault).__name__})",
-            "check the URL, routes and firewall; the entry VM goes on with "
-            "what it knows meanwhile",
+            "check the URL, routes and firewall; until then the entry VM "
+            "uses what it last received",
         )
         return
     good = response.status < 500
     remedy = "" if good else 'see "platform down" in OPERATIONS'
     yield Finding(subject, good, f"status {response.status}", remedy)
-    skew_s = read_skew(response)
+    skew_s = compute_skew_s(response)
     if skew_s is not None:
         remedy = "" if abs(skew_s) <= MAX_SKEW_S else "set this clock by NTP"
         yield Finding(
@@ -122,8 +122,8 @@
         )
 
 
-def read_skew(response: httpcore.Response) -> float | None:
-    """Seconds by which the service's clock is ahead, from its Date."""
+def compute_skew_s(response: httpcore.Response) -> float | None:
+    """Return by how many seconds the service's Date is ahead of us."""
     for name, value in response.headers:
         if name.lower() == b"date":
             date = email.utils.parsedate_to_datetime(value.decode())
@@ -134,7 +134,7 @@
 def check_peers(
     settings: settings_module.Settings,
 ) -> typing.Iterator[Finding]:
-    """Whether each configured peer accepts connections."""
+    """Check that each configured peer accepts connections."""
     for address in settings.peers:
         if address != settings.listen.peers:
             yield probe_port(f"peer {address}", address)
@@ -143,7 +143,11 @@
 def check_endpoints(
     settings: settings_module.Settings,
 ) -> typing.Iterator[Finding]:
-    """Whether each listed endpoint accepts connections."""
+    """Check that listed endpoints that are not leaving accept connections.
+
+    Yields nothing if the list cannot be read: check_platform reports a
+    service that does not answer.
+    """
     try:
         listed = fetch(settings.platform.vms + "/vms")
         vms = json.loads(listed.content)["vms"]
@@ -161,22 +165,22 @@
 
 
 def probe_port(subject: str, address: str) -> Finding:
-    """Whether something accepts connections at an address."""
+    """Check that something accepts connections at an address."""
     try:
-        place = settings_module.split_address(address)
-        socket.create_connection(place, TIMEOUT_S).close()
+        host_and_port = settings_module.split_address(address)
+        socket.create_connection(host_and_port, TIMEOUT_S).close()
     except (OSError, ValueError) as fault:
         return Finding(
             subject,
             False,
             f"{address}: {fault}",
-            "start it, or correct the address, or open the way to it",
+            "start it, correct its address, or check routes and firewall",
         )
     return Finding(subject, True, f"{address} accepts connections")
 
 
 def fetch(url: str) -> httpcore.Response:
-    """One GET with a time limit on each step."""
+    """Send a GET with a timeout on each step."""
     names = ("connect", "read", "write", "pool")
     with httpcore.ConnectionPool(
         ssl_context=ssl.create_default_context()
--- a/src/carawayward/commands/explain.py
+++ b/src/carawayward/commands/explain.py
@@ -1,4 +1,4 @@
-"""Puts the log lines of one request together, over all entry VMs."""
+"""Commands for forwarded routes: a request's log lines, and settings."""
 
 import json
 import sys
@@ -9,13 +9,13 @@
 from carawayward import errors
 from carawayward.forwarding import settings
 
-# Fields that every line has or that are shown elsewhere in the row.
+# Fields that every line has, or that another part of the row shows.
 OMITTED_FIELDS = frozenset(("at_ms", "event", "name", "request"))
 
 
 @decorators.SetParseFn(str)
 def explain_request(request: str) -> None:
-    """Print what the logs on standard input say of one request, in order.
+    """Print one request's log lines from standard input, in time order.
 
     Args:
         request: the id of the caller's attempt.
@@ -23,28 +23,28 @@
     rows = list(format_request_log(request, sys.stdin))
     if not rows:
         raise errors.Unwell(
-            f"no line names request {request}; put the logs of all entry VMs "
-            "together, and look for lines_dropped in them"
+            f"no line names request {request}; pass the logs of all entry "
+            "VMs, and check them for lines_dropped"
         )
     print("\n".join(rows))
 
 
 def check_settings(path: str) -> None:
-    """Check a settings file of an entry VM with forwarded routes.
+    """Validate the settings file of an entry VM with forwarded routes.
 
     Args:
-        path: the file as the platform fills it in.
+        path: the settings file, with the platform's values filled in.
     """
     found = settings.ForwardingSettings.from_file(path)
     print(f"{path}: usable, entry VM {found.name}")
 
 
 def format_request_log(request: str, lines: typing.Iterable[str]) -> list[str]:
-    """The rows for one request, the earliest first.
+    """Format one request's log lines as rows, earliest first.
 
-    Times are in ms after the first line; the entry VMs' clocks may differ
-    by some. What stands before the JSON of a line, such as the entry VM's
-    name that a collector adds, is kept.
+    Times are in milliseconds after the first row. They are not corrected
+    for differences between the entry VMs' clocks. Text before the JSON of
+    a line, such as an entry VM's name added by a log collector, is kept.
     """
     found = []
     for line in lines:
--- a/src/carawayward/commands/inspect.py
+++ b/src/carawayward/commands/inspect.py
@@ -1,4 +1,4 @@
-"""Commands that look at running entry VMs: status, top, histogram."""
+"""Commands that query running entry VMs: status, top, histogram."""
 
 import json
 import os
@@ -16,20 +16,21 @@
 
 
 def status(node: str, key: str = "") -> str:
-    """Print one entry VM's state and what it knows of the others.
+    """Print an entry VM's state, its peers, roll-outs and endpoints.
 
     Args:
-        node: the operators' address of an entry VM, ip:port.
+        node: address of an entry VM's operators' listener, ip:port.
         key: operators' key; by default from CARAWAYWARD_OPERATOR_KEY.
     """
     return format_status(fetch_json(node, "/v1/status", key))
 
 
 def top(*nodes: str, metric: str = "latency", key: str = "") -> str:
-    """Print percentiles per customer and class, the slowest first.
+    """Print percentiles per customer and class, highest p99 first.
 
     Args:
-        nodes: operators' addresses; histograms are added up over them.
+        nodes: addresses of entry VMs' operators' listeners, ip:port;
+            their histograms are merged.
         metric: latency, first_token, between_tokens, queue_wait or cost.
         key: operators' key; by default from CARAWAYWARD_OPERATOR_KEY.
     """
@@ -41,9 +42,9 @@
     )
     for (customer, kind), total in ranked:
         marks = [total.get_value_at_percentile(p) for p in (50, 95, 99)]
-        figures = "".join(f"{m:>9}" for m in [*marks, total.get_max_value()])
+        columns = "".join(f"{m:>9}" for m in [*marks, total.get_max_value()])
         count = total.get_total_count()
-        lines.append(f"{customer:<20}{kind:<20}{count:>8}{figures}")
+        lines.append(f"{customer:<20}{kind:<20}{count:>8}{columns}")
     return "\n".join(lines)
 
 
@@ -54,10 +55,10 @@
     metric: str = "latency",
     key: str = "",
 ) -> str:
-    """Draw a histogram, added up over entry VMs.
+    """Print a histogram as a bar chart, merged over entry VMs.
 
     Args:
-        nodes: operators' addresses of entry VMs.
+        nodes: addresses of entry VMs' operators' listeners, ip:port.
         customer: only this customer; all by default.
         kind: only this task or service; all by default.
         metric: latency, first_token, between_tokens, queue_wait or cost.
@@ -73,7 +74,7 @@
 
 
 def fetch_json(node: str, path: str, key: str) -> typing.Any:
-    """Read JSON from an entry VM's operators' listener."""
+    """Fetch JSON from an entry VM's operators' listener."""
     key = key or os.environ.get(KEY_VARIABLE, "")
     names = ("connect", "read", "write", "pool")
     try:
@@ -97,16 +98,18 @@
 
 
 def fetch_histogram_rows(nodes: tuple[str, ...], key: str) -> list[dict]:
-    """All histogram rows of several entry VMs."""
+    """Fetch the histogram rows of several entry VMs."""
     if not nodes:
         raise errors.BadRequest(
-            "nodes", "none", "name operators' addresses of entry VMs"
+            "nodes",
+            "none",
+            "give the operators' address of at least one entry VM",
         )
     return [row for n in nodes for row in fetch_json(n, "/v1/histograms", key)]
 
 
 def make_histogram(metric: str) -> hdr.HdrHistogram:
-    """An empty histogram of a metric."""
+    """Make an empty histogram for a metric, given by its label."""
     for each in metrics.Metric:
         if each.label == metric:
             return hdr.HdrHistogram(
@@ -119,7 +122,7 @@
 def merge_histograms(
     rows: list[dict], metric: str
 ) -> dict[tuple[str, str], hdr.HdrHistogram]:
-    """Add up rows of one metric by customer and class."""
+    """Merge the rows of one metric by customer and class."""
     merged: dict[tuple[str, str], hdr.HdrHistogram] = {}
     for row in rows:
         if row["metric"] == metric:
@@ -130,25 +133,25 @@
 
 
 def format_histogram(total: hdr.HdrHistogram) -> str:
-    """A histogram as text: a line for each power of two."""
+    """Format a histogram as text, one bar per power of two."""
     bounds: list[int] = [1]
     while bounds[-1] < max(1, total.get_max_value()):
         bounds.append(bounds[-1] * 2)
     counts = [0] * len(bounds)
     for item in total.get_recorded_iterator():
         value = item.value_iterated_to
-        place = next(i for i, b in enumerate(bounds) if value <= b * 1.01)
-        counts[place] += item.count_added_in_this_iter_step
-    most = max([1, *counts])
+        slot = next(i for i, b in enumerate(bounds) if value <= b * 1.01)
+        counts[slot] += item.count_added_in_this_iter_step
+    max_count = max([1, *counts])
     lines = []
     for bound, count in zip(bounds, counts, strict=True):
-        bar = "#" * round(BAR_WIDTH * count / most)
+        bar = "#" * round(BAR_WIDTH * count / max_count)
         lines.append(f"<= {bound:>8} {count:>8} {bar}")
     return "\n".join(lines)
 
 
 def format_rollout(trial: dict) -> str:
-    """A roll-out's state as a line of text."""
+    """Format a roll-out's state as one line."""
     halted = f" ({trial['halted']})" if trial["halted"] else ""
     return (
         f"roll-out {trial['name']}: {trial['state']}{halted}, "
@@ -159,7 +162,7 @@
 
 
 def format_status(body: dict) -> str:
-    """A status as a page of text."""
+    """Format the body of /v1/status as text."""
     fresh = "fresh" if body["fresh"] else "CUT OFF: not heard from the log"
     lines = [
         f"{body['name']} ({body['failure_domain']}): {body['state']}, "
--- a/src/carawayward/commands/ledger.py
+++ b/src/carawayward/commands/ledger.py
@@ -1,10 +1,11 @@
-"""The exported ledger: a file that outlives the log's retention.
-
-The file holds one bill a line, each key once, in log order. Beside it
-stands a checkpoint: from where in the log to go on, how long the file was
-then, and which offsets were gone before they could be exported. The file is
-cut back to the checkpoint's length before each export, so a crash between
-the two writes neither loses nor doubles a bill.
+"""Exported ledger: bills kept in a file beyond the log's retention.
+
+The file holds one bill per line, each key once, in log order. A checkpoint
+file next to it records the log offset at which the next export starts, the
+length of the ledger at that point, and the offsets that expired before they
+were exported. Each export first truncates the ledger to the checkpoint's
+length, so a crash between writing the ledger and writing the checkpoint
+neither loses nor duplicates a bill.
 """
 
 import json
@@ -23,7 +24,7 @@
 
 @attrs.frozen(kw_only=True)
 class Gap:
-    """Offsets that the log forgot before they were exported."""
+    """Range of offsets that expired from the log before an export."""
 
     first: int
     last: int
@@ -31,7 +32,7 @@
 
 @attrs.frozen(kw_only=True)
 class Checkpoint:
-    """Where an export stands; ``size`` is the file's length in bytes."""
+    """Progress of the export; ``size`` is the ledger's length in bytes."""
 
     next_offset: int = 1
     size: int = 0
@@ -41,7 +42,10 @@
 
 @attrs.define
 class Ledger:
-    """One exported ledger, open for more."""
+    """An exported ledger to which bills can be appended.
+
+    ``keys`` holds the keys of all bills in the file.
+    """
 
     path: pathlib.Path
     checkpoint: Checkpoint = attrs.field(factory=Checkpoint)
@@ -49,13 +53,13 @@
 
     @classmethod
     def from_file(cls, file: str) -> "Ledger":
-        """Open a ledger, or begin one."""
+        """Open a ledger, or start an empty one if there is no file."""
         ledger = cls(pathlib.Path(file))
-        beside = ledger.checkpoint_path
-        if beside.exists():
+        checkpoint_file = ledger.checkpoint_path
+        if checkpoint_file.exists():
             ledger.checkpoint = documents.structure(
                 Checkpoint,
-                json.loads(beside.read_text(encoding="utf-8")),
+                json.loads(checkpoint_file.read_text(encoding="utf-8")),
                 errors.LedgerError,
             )
         ledger.keys = {bill.key for bill in ledger.read()}
@@ -64,17 +68,17 @@
                 file,
                 f"{len(ledger.keys)} bills",
                 f"the checkpoint counts {ledger.checkpoint.bills}; restore "
-                "both files from one backup, or export anew",
+                "both files from one backup, or export into a new file",
             )
         return ledger
 
     @property
     def checkpoint_path(self) -> pathlib.Path:
-        """The checkpoint's place beside the ledger."""
+        """Path of the checkpoint file."""
         return self.path.with_name(self.path.name + ".checkpoint")
 
     def read(self) -> typing.Iterator[billing.Bill]:
-        """All bills up to the checkpoint."""
+        """Yield all bills up to the checkpoint."""
         if not self.path.exists():
             if self.checkpoint.size:
                 raise errors.LedgerError(
@@ -94,12 +98,19 @@
             yield bill
 
     def add(
-        self, bills: typing.Iterable[billing.Bill], next_offset: int, gap: int
+        self,
+        bills: typing.Iterable[billing.Bill],
+        next_offset: int,
+        oldest_offset: int,
     ) -> int:
         """Write new bills, then the checkpoint; return how many were new.
 
-        ``gap`` is the oldest offset that the log still had, if that is past
-        the checkpoint, or 0.
+        Args:
+            bills: bills read from the log; those whose key is already in
+                the ledger are skipped.
+            next_offset: the log offset at which the next export starts.
+            oldest_offset: the oldest offset in the log if that is past
+                the checkpoint, otherwise 0.
         """
         fresh = []
         for bill in bills:
@@ -107,10 +118,12 @@
                 self.keys.add(bill.key)
                 fresh.append(bill)
         lines = [json.dumps(billing.encode(bill)) + "\n" for bill in fresh]
-        size = self._write("".join(lines).encode())
+        size = self._append("".join(lines).encode())
         gaps = list(self.checkpoint.gaps)
-        if gap > self.checkpoint.next_offset:
-            gaps.append(Gap(first=self.checkpoint.next_offset, last=gap - 1))
+        if oldest_offset > self.checkpoint.next_offset:
+            gaps.append(
+                Gap(first=self.checkpoint.next_offset, last=oldest_offset - 1)
+            )
         self.checkpoint = Checkpoint(
             next_offset=next_offset,
             size=size,
@@ -120,7 +133,7 @@
         self._write_checkpoint()
         return len(fresh)
 
-    def _write(self, content: bytes) -> int:
+    def _append(self, content: bytes) -> int:
         with open(self.path, "ab") as file:
             file.truncate(self.checkpoint.size)
             file.write(content)
@@ -140,7 +153,7 @@
 
 
 def decode_line(line: bytes) -> billing.Bill | None:
-    """Read one line of a ledger; None for a damaged one."""
+    """Decode one line of a ledger; None if it is damaged."""
     try:
         return billing.decode(json.loads(line))
     except ValueError:
@@ -150,7 +163,7 @@
 def sum_by_customer(
     bills: typing.Iterable[billing.Bill],
 ) -> dict[str, dict[str, float]]:
-    """Each customer's number of bills, tokens and cost."""
+    """Compute each customer's number of bills, tokens and cost."""
     totals: dict[str, dict[str, float]] = {}
     for bill in bills:
         total = totals.setdefault(
--- a/src/carawayward/commands/rollouts.py
+++ b/src/carawayward/commands/rollouts.py
@@ -1,4 +1,4 @@
-"""Commands about roll-outs: show, halt, resume."""
+"""Commands that show, halt and resume roll-outs."""
 
 import datetime
 
@@ -10,7 +10,11 @@
 
 
 def rollouts(log: str) -> str:
-    """Print where each roll-out stands, as the log has it."""
+    """Print the stage and state of each roll-out recorded in the log.
+
+    Args:
+        log: base URL of the platform's log.
+    """
 
     async def run(client: log_module.LogClient) -> str:
         state = await read_state(client)
@@ -33,9 +37,9 @@
     """Halt a roll-out on every entry VM.
 
     Args:
-        rollout: its name in the declaration.
+        rollout: name of the roll-out in the declaration.
         log: base URL of the platform's log.
-        reason: shown to operators.
+        reason: shown to operators as the reason for the halt.
     """
 
     async def run(client: log_module.LogClient) -> str:
@@ -63,13 +67,13 @@
 def resume(
     rollout: str, log: str, stage: int = 1, operator: str = "operator"
 ) -> str:
-    """Let a halted roll-out go on.
+    """Resume a halted roll-out.
 
     Args:
-        rollout: its name in the declaration.
+        rollout: name of the roll-out in the declaration.
         log: base URL of the platform's log.
-        stage: the stage to go on at; the first is 1.
-        operator: who resumes it.
+        stage: the stage at which to resume; the first is 1.
+        operator: name of whoever resumes it.
     """
 
     async def run(client: log_module.LogClient) -> str:
@@ -96,7 +100,7 @@
 
 
 async def read_state(client: log_module.LogClient) -> decisions.RolloutLog:
-    """Fold the stream of roll-outs up to its tail."""
+    """Read the state of all roll-outs by applying their whole log."""
     state = decisions.RolloutLog(known=False)
     offset = 1
     while True:
