--- a/src/carawayward/console/__init__.py
+++ b/src/carawayward/console/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' console."""
+"""The operators' web console."""
--- a/src/carawayward/console/authentication.py
+++ b/src/carawayward/console/authentication.py
@@ -1,4 +1,4 @@
-"""Who may use the console: login, a signed cookie, and form tokens."""
+"""Operator login: signed cookies, and form tokens against CSRF."""
 
 import hmac
 import secrets
@@ -14,15 +14,15 @@
 
 COOKIE = "carawayward-operator"
 LOGIN_TTL_S = 8 * 3_600
-# Guesses at a key wait in one line, so that many connections try no more
-# keys a second than one does.
+# Failed logins wait for this one after the other, so that opening many
+# connections does not let anyone try more keys per second.
 FAILED_LOGIN_DELAY_S = 1.0
 MAX_NAME_CHARS = 60
 
 
 @attrs.frozen
 class Operator:
-    """Who is logged in, and the token that this login's forms must bear."""
+    """A logged-in operator and the token that the login's forms must send."""
 
     name: str
     form_token: str
@@ -32,10 +32,10 @@
 class Authenticator:
     """Checks logins against the operators' keys of the settings.
 
-    The cookie is signed with those keys and holds all there is to know, so
-    that any entry VM honours it. It is not sent along from other sites
-    (SameSite), and forms bear a token besides, for browsers that ignore
-    that.
+    The cookie is signed with those keys and holds the operator's name and
+    form token, so any entry VM with the same keys accepts it. Requests from
+    other sites do not carry it (SameSite); the form token protects browsers
+    that ignore SameSite.
     """
 
     keys: tuple[str, ...]
@@ -48,7 +48,7 @@
         ]
 
     async def log_in(self, name: str, key: str) -> str | None:
-        """A cookie for a good key; None, after a while, for a bad one."""
+        """Return a cookie, or None after a delay for a wrong key or name."""
         good = any(
             hmac.compare_digest(key.encode(), each.encode())
             for each in self.keys
@@ -62,7 +62,7 @@
         return token if isinstance(token, str) else token.decode()
 
     def set_cookie(self, response: responses.Response, token: str) -> None:
-        """Give the browser its cookie."""
+        """Set the login cookie on a response."""
         response.set_cookie(
             COOKIE,
             token,
@@ -73,7 +73,7 @@
         )
 
     def get_operator(self, request: http_requests.Request) -> Operator | None:
-        """Who sent a request, if logged in."""
+        """Return the operator who sent a request; None if not logged in."""
         token = request.cookies.get(COOKIE, "")
         for signer in self._signers():
             try:
@@ -89,9 +89,9 @@
 def check_form_token(
     operator: Operator, values: typing.Mapping[str, list[str]]
 ) -> None:
-    """Raise NotAuthenticated for a form that this login was not given."""
+    """Raise NotAuthenticated unless the form has this login's token."""
     given = values.get("form_token", [""])[0]
     if not hmac.compare_digest(given.encode(), operator.form_token.encode()):
         raise errors.NotAuthenticated(
-            "the form is from another login; open the page again"
+            "the form belongs to another login; open the page again"
         )
--- a/src/carawayward/console/drafts.py
+++ b/src/carawayward/console/drafts.py
@@ -1,4 +1,4 @@
-"""Drafts of a document, which travel in the forms themselves."""
+"""Drafts of a document, kept in hidden fields of the forms."""
 
 import json
 import typing
@@ -18,7 +18,11 @@
 
 @attrs.frozen(kw_only=True)
 class Draft:
-    """A document being edited, and what it was drawn from."""
+    """A document being edited.
+
+    ``base`` is the revision that it is based on, ``origin`` that revision's
+    document.
+    """
 
     base: int
     origin: typing.Any
@@ -26,7 +30,7 @@
 
     @classmethod
     def from_form(cls, values: Values) -> "Draft":
-        """Read the hidden fields of a form."""
+        """Read a draft from the hidden fields of a form."""
         try:
             return cls(
                 base=int(values["base"][0]),
@@ -35,12 +39,12 @@
             )
         except (KeyError, ValueError, RecursionError):
             raise errors.BadRequest(
-                "draft", "not a draft", "begin again from the overview"
+                "draft", "not a draft", "start again from the overview"
             ) from None
 
 
 def make_hidden_fields(draft: Draft) -> dict[str, str]:
-    """A draft as hidden fields of a form."""
+    """Return a draft as the hidden fields of a form."""
     return {
         "base": str(draft.base),
         "origin": json.dumps(draft.origin),
@@ -49,28 +53,33 @@
 
 
 def normalize(document: typing.Any) -> typing.Any:
-    """A checked document with every default written out."""
+    """Validate a document and write out every default."""
     return declaration.unstructure(
         declaration.Declaration.from_config(document)
     )
 
 
 def parse_number(values: Values, name: str) -> int:
-    """A whole number of a hidden field."""
+    """Return the whole number in a hidden field."""
     text = values.get(name, [""])[0]
     if not text.isdecimal():
-        raise errors.BadRequest(name, text[:40], "send it from the page")
+        raise errors.BadRequest(
+            name, text[:40], "submit the form from the console"
+        )
     return int(text)
 
 
 async def read_form_values(request: http_requests.Request) -> Values:
-    """A form's fields, within bounds of size and number."""
+    """Read a form's fields, up to a maximum size and number."""
     body = bytearray()
     async for chunk in request.stream():
         body += chunk
         if len(body) > MAX_FORM_BYTES:
             raise errors.BadRequest(
-                "form", "too large", "publish a file by tool", status=413
+                "form",
+                "too large",
+                "publish it as a file with carawaywardctl",
+                status=413,
             )
     try:
         return urllib.parse.parse_qs(
@@ -80,5 +89,5 @@
         )
     except ValueError:
         raise errors.BadRequest(
-            "form", "malformed", "send it from the page"
+            "form", "malformed", "submit the form from the console"
         ) from None
--- a/src/carawayward/console/forms.py
+++ b/src/carawayward/console/forms.py
@@ -1,8 +1,8 @@
-"""Forms made from the declaration's own classes, and read back.
+"""HTML forms generated from the declaration's classes, and their parsing.
 
 A form is a tree of groups and fields with paths such as
-``customers.0.weight``. It is made from the attrs classes, so a field that
-the declaration gains appears here by itself.
+``customers.0.weight``. It is generated from the attrs classes, so a field
+that is added to the declaration appears in the form without further code.
 """
 
 import enum
@@ -17,7 +17,8 @@
 Values = typing.Mapping[str, list[str]]
 
 SECTIONS = ("customers", "models", "tasks", "services", "rollouts", "pools")
-# Fields whose texts name something else in the document.
+# Fields that hold names defined elsewhere in the document, and where those
+# are defined.
 REFERENCES = {
     "tasks": "tasks",
     "models": "models",
@@ -29,9 +30,9 @@
     "baseline": "versions",
 }
 HELP = {
-    "key_digests": "one a line; carawaywardctl digest KEY prints one",
-    "exposure_budget": "one a line: failure domain, colon, answers",
-    "cascade": "from cheap to strong, one a line",
+    "key_digests": "one per line; carawaywardctl digest KEY prints one",
+    "exposure_budget": "one per line, as failure domain: number of answers",
+    "cascade": "from cheap to strong, one per line",
     "share": "of new sessions, above 0 and up to 1",
     "dwell_ms": "milliseconds",
     "deadline_ms": "milliseconds",
@@ -42,7 +43,10 @@
 
 @attrs.frozen(kw_only=True)
 class Field:
-    """One input."""
+    """One input of a form.
+
+    ``kind`` selects the element: text, number, lines, select or checks.
+    """
 
     path: str
     label: str
@@ -55,7 +59,7 @@
 
 @attrs.frozen(kw_only=True)
 class Group:
-    """One thing with its inputs and the lists of things inside it."""
+    """The form of one object: its inputs and the lists nested in it."""
 
     path: str
     title: str
@@ -65,7 +69,7 @@
 
 @attrs.frozen(kw_only=True)
 class ThingList:
-    """A list of things that can be added to and removed from."""
+    """The form of a list of objects, which can be added and removed."""
 
     path: str
     title: str
@@ -73,7 +77,7 @@
 
 
 def unwrap_optional(kind: typing.Any) -> typing.Any:
-    """A field's type without ``| None``."""
+    """Return a field's type without ``| None``."""
     if isinstance(kind, types.UnionType):
         inner = [a for a in typing.get_args(kind) if a is not type(None)]
         return inner[0]
@@ -83,7 +87,7 @@
 def list_fields(
     kind: type,
 ) -> list[tuple[str, typing.Any, bool]]:
-    """Names, types and requiredness of a class's fields."""
+    """Return each field's name, its type and whether it is required."""
     hints = typing.get_type_hints(kind)
     return [
         (each.name, hints[each.name], each.default is attrs.NOTHING)
@@ -92,7 +96,7 @@
 
 
 def get_item_type(section: str) -> type:
-    """The class of a section's things."""
+    """Return the class of a section's items."""
     hints = typing.get_type_hints(declaration.Declaration)
     return typing.get_args(hints[section])[0]
 
@@ -100,7 +104,10 @@
 def make_form(
     document: Plain, section: str, field_errors: typing.Mapping[str, str]
 ) -> ThingList:
-    """The form of one section of a draft."""
+    """Make the form of one section of a draft.
+
+    ``field_errors`` holds messages by path, shown at their fields.
+    """
     return _make_list(
         get_item_type(section),
         document.get(section) or [],
@@ -135,13 +142,13 @@
 ) -> Group:
     fields: list[Field] = []
     lists: list[ThingList] = []
-    for name, declared, _ in list_fields(kind):
+    for name, declared_type, _ in list_fields(kind):
         inner = f"{path}.{name}"
         value = item.get(name)
-        hint = unwrap_optional(declared)
+        hint = unwrap_optional(declared_type)
         if attrs.has(hint):
-            # A part that may be left out, such as a check: its own fields
-            # stand among the others, and all empty means none.
+            # A nested object, such as a check, may be left out. Its fields
+            # are shown among the group's own; all empty means absent.
             nested = _make_group(
                 hint, value or {}, inner, document, field_errors
             )
@@ -210,7 +217,7 @@
 
 
 def list_referable_names(document: Plain, what: str) -> tuple[str, ...]:
-    """Names that a field may refer to."""
+    """Return the names that a field may refer to."""
     if what == "versions":
         return tuple(
             version.get("name", "")
@@ -223,10 +230,11 @@
 def read_form(
     document: Plain, section: str, values: Values
 ) -> tuple[list, dict[str, str]]:
-    """A section's things as filled in, and a message for each bad field.
+    """Return a section's items as submitted, and errors by field path.
 
-    The number of things is that of the draft that made the form. What
-    cannot be read is kept as it was typed, so that nothing is lost.
+    The number of items is that in the draft from which the form was made.
+    A value that cannot be parsed is kept as it was typed, so that the
+    operator can correct it.
     """
     field_errors: dict[str, str] = {}
     items = [
@@ -250,17 +258,17 @@
     field_errors: dict[str, str],
 ) -> Plain:
     read: dict[str, Plain] = {}
-    for name, declared, required in list_fields(kind):
+    for name, declared_type, required in list_fields(kind):
         inner = f"{path}.{name}"
-        hint = unwrap_optional(declared)
+        hint = unwrap_optional(declared_type)
         if attrs.has(hint):
             nested_errors: dict[str, str] = {}
-            part = _read_group(
+            nested = _read_group(
                 hint, item.get(name) or {}, inner, values, nested_errors
             )
-            if part:
+            if nested:
                 field_errors.update(nested_errors)
-                read[name] = part
+                read[name] = nested
             continue
         if _is_thing_list(hint):
             of = typing.get_args(hint)[0]
@@ -277,15 +285,15 @@
                 read[name] = []
             continue
         try:
-            read[name] = read_value(hint, texts)
+            read[name] = parse_value(hint, texts)
         except ValueError as fault:
             field_errors[inner] = str(fault)
             read[name] = texts[0]
     return read
 
 
-def read_value(hint: typing.Any, texts: list[str]) -> Plain:
-    """A typed value from a form's texts; raise ValueError with a remedy."""
+def parse_value(hint: typing.Any, texts: list[str]) -> Plain:
+    """Parse a field's texts; raise ValueError with a remedy."""
     lines = [x.strip() for t in texts for x in t.splitlines() if x.strip()]
     origin = typing.get_origin(hint)
     if origin is list:
@@ -295,7 +303,9 @@
         try:
             return {key.strip(): int(value) for key, _, value in pairs}
         except ValueError:
-            raise ValueError("write lines such as: hall-a: 10") from None
+            raise ValueError(
+                "write one entry per line, such as hall-a: 10"
+            ) from None
     if hint is bool:
         return texts[0] == "true"
     if hint in (int, float):
@@ -308,33 +318,35 @@
 
 
 def resolve_path(document: Plain, field: str) -> str:
-    """The form's path of a field that an error names by names.
+    """Convert the field path of an error message to that of the form.
 
     ``customers.lekki-club.tasks`` and ``customers[2].tasks`` both become
     ``customers.2.tasks``.
     """
     steps = field.replace("[", ".").replace("]", "").split(".")
-    place: Plain = document
+    current: Plain = document
     path = []
     for step in steps:
-        if isinstance(place, list):
-            names = [str(each.get("name")) for each in place]
+        if isinstance(current, list):
+            names = [str(each.get("name")) for each in current]
             if step in names:
                 step = str(names.index(step))
-            place = place[int(step)] if step.isdecimal() else None
-        elif isinstance(place, dict):
-            place = place.get(step)
+            current = current[int(step)] if step.isdecimal() else None
+        elif isinstance(current, dict):
+            current = current.get(step)
         path.append(step)
     return ".".join(path)
 
 
 def edit_list(document: Plain, action: str, path: str) -> None:
-    """Add an empty thing to a list, or remove one, in place."""
+    """Add an empty item to a list, or remove an item, in place."""
     *steps, last = path.split(".")
-    place = document
+    current = document
     for step in steps:
-        place = place[int(step)] if isinstance(place, list) else place[step]
+        current = (
+            current[int(step)] if isinstance(current, list) else current[step]
+        )
     if action == "add":
-        place[last] = [*(place.get(last) or []), {}]
+        current[last] = [*(current.get(last) or []), {}]
     else:
-        del place[int(last)]
+        del current[int(last)]
--- a/src/carawayward/console/overview.py
+++ b/src/carawayward/console/overview.py
@@ -1,4 +1,4 @@
-"""What the console's first page shows, as plain values."""
+"""Data shown on the console's overview page."""
 
 import typing
 
@@ -10,7 +10,7 @@
 def describe(
     board: blackboard_module.Blackboard, now_ms: float
 ) -> dict[str, typing.Any]:
-    """Everything on the first page."""
+    """Return everything that the overview template reads."""
     config = board.config
     revision = config.revision if config else 0
     return {
@@ -36,7 +36,7 @@
 def list_confirmations(
     board: blackboard_module.Blackboard, now_ms: float
 ) -> list[dict[str, typing.Any]]:
-    """Each entry VM, and whether it has the revision that is in force."""
+    """Return a row per entry VM: whether it has the revision in force."""
     vms = {vm.name: vm for vm in board.entry_vms.values()}
     rows = []
     for name, state in sorted(board.list_confirmations(now_ms).items()):
@@ -58,7 +58,7 @@
 def describe_trial(
     board: blackboard_module.Blackboard, trial: quality.Trial
 ) -> dict[str, typing.Any]:
-    """One roll-out: its stage, its ratings, its budget."""
+    """Return a roll-out's stage, ratings and exposure budget."""
     counts = trial_groups.count(board.quality.trial_evidence, trial)
     accounts = board.quality.accounts.get(trial.account, {})
     outstanding = sum(each.outstanding for each in accounts.values())
--- a/src/carawayward/console/pages.py
+++ b/src/carawayward/console/pages.py
@@ -1,8 +1,8 @@
-"""The console's pages: forms on the operators' port, without scripts.
+"""The console's pages: HTML forms on the operators' port, without scripts.
 
-No draft is kept here: it travels in the form, with the document and the
-revision that it was drawn from. Any entry VM can take the next step, and a
-restart in between loses nothing.
+Drafts are not stored on the server. Each form carries the draft, the
+document that it started from and that document's revision, so any entry VM
+can handle the next step and a restart in between loses nothing.
 """
 
 import pathlib
@@ -44,7 +44,7 @@
 
 @attrs.define
 class Console:
-    """Serves the forms."""
+    """Serves the console's pages and handles their forms."""
 
     board: blackboard_module.Blackboard
     clock: clock_module.Clock
@@ -68,12 +68,12 @@
         clock: clock_module.Clock,
         log: log_module.LogClient,
     ) -> "Console":
-        """Make the console of one entry VM."""
+        """Make the console of an entry VM from its settings."""
         keys = tuple(settings.keys.operators)
         return cls(board, clock, log, authentication.Authenticator(keys))
 
     def make_routes(self) -> list[routing.BaseRoute]:
-        """Routes for the operators' listener."""
+        """Return the routes for the operators' listener."""
         route = routing.Route
         post = ["POST"]
         return [
@@ -116,7 +116,10 @@
             [authentication.Operator, Values], typing.Awaitable[Response]
         ],
     ) -> typing.Callable[[http_requests.Request], typing.Awaitable[Response]]:
-        """Let only forms of a logged-in operator through."""
+        """Wrap a form handler: require a login and a valid form token.
+
+        Errors of the handler are shown as a page.
+        """
 
         async def call(request: http_requests.Request) -> Response:
             operator = self.authenticator.get_operator(request)
@@ -134,8 +137,8 @@
     def show_error(
         self, operator: authentication.Operator, fault: errors.CarawaywardError
     ) -> Response:
-        """A page that says what went wrong and what to do."""
-        title, text, status = "That cannot be done", str(fault), 400
+        """Render the page for an error, with its remedy."""
+        title, text, status = "The request failed", str(fault), 400
         match fault:
             case errors.PlatformUnavailable():
                 title, status = "The platform does not answer", 503
@@ -151,7 +154,7 @@
     def render(
         self, name: str, status: int = 200, **values: object
     ) -> Response:
-        """A page from a template."""
+        """Render a template with the headers of every page."""
         values.setdefault("operator", None)
         text = self.templates.get_template(name).render(
             node=self.board.name, **values
@@ -159,30 +162,30 @@
         return responses.HTMLResponse(text, status, HEADERS)
 
     def redirect(self, path: str) -> Response:
-        """Send the browser on by GET."""
+        """Redirect the browser to a path, to be opened by GET."""
         return responses.RedirectResponse(path, 303, HEADERS)
 
     async def redirect_to_overview(
         self, request: http_requests.Request
     ) -> Response:
-        """The console's overview."""
+        """Redirect to the overview."""
         return self.redirect("/console/")
 
     async def serve_stylesheet(
         self, request: http_requests.Request
     ) -> Response:
-        """The one style sheet."""
+        """Serve the style sheet."""
         text = (CONSOLE_DIR / "static" / "style.css").read_text(
             encoding="utf-8"
         )
         return responses.Response(text, media_type="text/css")
 
     async def show_login(self, request: http_requests.Request) -> Response:
-        """The login form."""
+        """Show the login form."""
         return self.render("login.html", fault="")
 
     async def log_in(self, request: http_requests.Request) -> Response:
-        """Check the key and give a cookie."""
+        """Check the operators' key and set the login cookie."""
         values = await drafts.read_form_values(request)
         name = values.get("name", [""])[0].strip()
         token = await self.authenticator.log_in(
@@ -190,20 +193,20 @@
         )
         if token is None:
             events.log_event(events.Event.LOGIN_REFUSED)
-            fault = "Write your name and a key of keys.operators."
+            fault = "Enter your name and a key that is in keys.operators."
             return self.render("login.html", 401, fault=fault)
         response = self.redirect("/console/")
         self.authenticator.set_cookie(response, token)
         return response
 
     async def log_out(self, request: http_requests.Request) -> Response:
-        """Forget the cookie."""
+        """Delete the login cookie."""
         response = self.redirect("/console/login")
         response.delete_cookie(authentication.COOKIE, path="/console")
         return response
 
     async def show_overview(self, request: http_requests.Request) -> Response:
-        """What is in force, who has it, and how roll-outs stand."""
+        """Show the configuration in force, confirmations and roll-outs."""
         operator = self.authenticator.get_operator(request)
         if operator is None:
             return self.redirect("/console/login")
@@ -214,7 +217,7 @@
         )
 
     async def start_edit(self, request: http_requests.Request) -> Response:
-        """The first form of a new draft of what is in force."""
+        """Show the first form of a new draft."""
         operator = self.authenticator.get_operator(request)
         if operator is None:
             return self.redirect("/console/login")
@@ -224,11 +227,13 @@
         return self.show_section(operator, self.make_draft(), section, {})
 
     def make_draft(self) -> drafts.Draft:
-        """A draft of the document in force."""
+        """Make a draft from the document in force."""
         config = self.board.config
         if config is None:
             raise errors.BadRequest(
-                "document", "none in force", "publish a first one by tool"
+                "document",
+                "none in force",
+                "publish the first one with carawaywardctl",
             )
         document = drafts.normalize(config.document)
         return drafts.Draft(
@@ -243,7 +248,7 @@
         field_errors: dict[str, str],
         notice: str = "",
     ) -> Response:
-        """One section's form; status 422 if something is at fault."""
+        """Show a section's form; status 422 if there are errors."""
         if section not in forms.SECTIONS:
             section = forms.SECTIONS[0]
         return self.render(
@@ -262,7 +267,7 @@
     async def edit(
         self, operator: authentication.Operator, values: Values
     ) -> Response:
-        """Take in what was filled in, then do what the button says."""
+        """Apply the submitted section, then the action of the button."""
         draft = drafts.Draft.from_form(values)
         section = values.get("section", [""])[0]
         field_errors: dict[str, str] = {}
@@ -279,12 +284,16 @@
                 forms.edit_list(draft.document, action, subject)
             except (LookupError, ValueError, TypeError, AttributeError):
                 raise errors.BadRequest(
-                    "do", subject, "use the form's own buttons"
+                    "do", subject, "use the buttons of the form"
                 ) from None
             return self.show_section(operator, draft, section, {})
         if field_errors:
             return self.show_section(
-                operator, draft, section, field_errors, "Some fields need you."
+                operator,
+                draft,
+                section,
+                field_errors,
+                "Some fields are not valid.",
             )
         if action == "goto":
             return self.show_section(operator, draft, subject, {})
@@ -296,7 +305,7 @@
         draft: drafts.Draft,
         clashes: typing.Sequence[str] = (),
     ) -> Response:
-        """Show a whole draft as a difference, or what is wrong with it."""
+        """Show a draft's changes for review, or the first error in it."""
         try:
             document = drafts.normalize(draft.document)
         except errors.DeclarationError as fault:
@@ -321,7 +330,7 @@
     async def publish(
         self, operator: authentication.Operator, values: Values
     ) -> Response:
-        """Publish a draft against the revision that it was drawn from."""
+        """Publish a draft, unless its base revision is no longer in force."""
         draft = drafts.Draft.from_form(values)
         document = drafts.normalize(draft.document)
         try:
@@ -343,7 +352,7 @@
         draft: drafts.Draft,
         fault: errors.PublishConflict,
     ) -> Response:
-        """Another operator was first: both changes, and the way on."""
+        """Show both operators' changes and offer to rebase this draft."""
         state = await configuration.read_state(self.log)
         current = drafts.normalize(state.document or {})
         return self.render(
@@ -360,7 +369,7 @@
     async def rebase(
         self, operator: authentication.Operator, values: Values
     ) -> Response:
-        """Take a draft's changes over onto what is now in force."""
+        """Apply a draft's changes to the document that is now in force."""
         draft = drafts.Draft.from_form(values)
         state = await configuration.read_state(self.log)
         current = drafts.normalize(state.document or {})
@@ -373,7 +382,7 @@
     async def withdraw(
         self, operator: authentication.Operator, values: Values
     ) -> Response:
-        """Show the withdrawal of a version, to be published."""
+        """Show the withdrawal of a version for review."""
         draft = self.make_draft()
         version = values.get("version", [""])[0]
         document = comparison.withdraw(draft.document, version)
@@ -382,13 +391,13 @@
     async def control_rollout(
         self, operator: authentication.Operator, values: Values
     ) -> Response:
-        """Halt a roll-out, or let a halted one go on from a stage."""
+        """Halt a roll-out, or resume a halted one at a stage."""
         name = values.get("rollout", [""])[0]
         trials = self.board.quality.trials.values()
         trial = next((t for t in trials if t.declared.name == name), None)
         if trial is None:
             raise errors.BadRequest(
-                "rollout", name, "name a roll-out that is under way"
+                "rollout", name, "name a roll-out that is in progress"
             )
         record: rollout_decisions.Record
         if values.get("do") == ["halt"]:
--- a/tests/common/browser.py
+++ b/tests/common/browser.py
@@ -1,4 +1,4 @@
-"""A browser without scripts: cookies, forms and buttons over real HTTP."""
+"""Test client for HTML pages: cookies, forms and buttons over HTTP."""
 
 import html.parser
 import typing
@@ -10,7 +10,7 @@
 
 @attrs.define
 class Form:
-    """One form of a page, as it would be sent."""
+    """A form of a page, with the fields that a browser would submit."""
 
     action: str = ""
     method: str = "get"
@@ -18,18 +18,18 @@
     buttons: list[dict[str, str]] = attrs.field(factory=list)
 
     def set(self, name: str, *values: str) -> None:
-        """Fill in a field."""
+        """Replace the values of a field."""
         assert any(known == name for known, _ in self.fields), name
         self.fields = [each for each in self.fields if each[0] != name]
         self.fields += [(name, value) for value in values]
 
     def get(self, name: str) -> str:
-        """What a field holds."""
+        """Return the first value of a field."""
         return next(value for known, value in self.fields if known == name)
 
 
 class _FormParser(html.parser.HTMLParser):
-    """Collects a page's forms."""
+    """Collects the forms of an HTML page."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -41,7 +41,7 @@
     def handle_starttag(
         self, tag: str, attributes: list[tuple[str, str | None]]
     ) -> None:
-        """Note forms and their fields."""
+        """Record forms, their fields and buttons."""
         tag_attrs = {name: value or "" for name, value in attributes}
         if tag == "form":
             self.forms.append(
@@ -69,12 +69,12 @@
             form.fields.append((self.select, tag_attrs.get("value", "")))
 
     def handle_data(self, data: str) -> None:
-        """Collect a text area's content."""
+        """Collect the content of a text area."""
         if self.textarea:
             self.text += data
 
     def handle_endtag(self, tag: str) -> None:
-        """Finish a text area."""
+        """Record a text area as a field."""
         if tag == "textarea" and self.textarea:
             self.forms[-1].fields.append((self.textarea, self.text))
             self.textarea = ""
@@ -82,7 +82,7 @@
 
 @attrs.define
 class Page:
-    """What came back, after redirects."""
+    """A response, after redirects."""
 
     status: int
     text: str
@@ -90,7 +90,7 @@
     headers: dict[str, str]
 
     def find_form(self, action: str) -> Form:
-        """The page's form with this action."""
+        """Return the page's first form with this action."""
         reader = _FormParser()
         reader.feed(self.text)
         return next(f for f in reader.forms if f.action == action)
@@ -98,17 +98,20 @@
 
 @attrs.define
 class Browser:
-    """One operator's browser at one entry VM."""
+    """An operator's session with one entry VM."""
 
     address: str
     cookies: dict[str, str] = attrs.field(factory=dict)
 
     def open(self, path: str) -> Page:
-        """Follow a link."""
+        """Open a path by GET."""
         return self._call("GET", path, None)
 
     def submit(self, form: Form, button: str) -> Page:
-        """Press a form's button, found by its value or ``formaction``."""
+        """Submit a form with a button, found by its value or ``formaction``.
+
+        An empty name submits the form without a button.
+        """
         fields = list(form.fields)
         action = form.action
         for each in form.buttons:
@@ -122,7 +125,7 @@
         return self._call("POST", action, urllib.parse.urlencode(fields))
 
     def log_in(self, name: str, key: str) -> Page:
-        """Fill in the login form."""
+        """Submit the login form."""
         form = self.open("/console/login").find_form("/console/login")
         form.set("name", name)
         form.set("key", key)
--- a/tests/cover/test_console.py
+++ b/tests/cover/test_console.py
@@ -1,4 +1,4 @@
-"""Forms round-trip the whole document; changes compare and merge by name."""
+"""Console forms round-trip documents; changes compare and merge by name."""
 
 import copy
 import pathlib
@@ -12,13 +12,13 @@
 
 
 def read_example(user: str) -> dict:
-    """A user's document with every default written out."""
+    """Read a document of examples/ with every default written out."""
     text = pathlib.Path(f"examples/{user}.yaml").read_text()
     return declaration.unstructure(declaration.Declaration.from_text(text))
 
 
-def list_values(things: forms.ThingList) -> dict[str, list[str]]:
-    """What a browser would send for a form that nobody touched."""
+def read_values(things: forms.ThingList) -> dict[str, list[str]]:
+    """Return what a browser sends for a form that was not changed."""
     values: dict[str, list[str]] = {}
     for group in things.groups:
         for field in group.fields:
@@ -27,18 +27,18 @@
                 texts = [text for text in field.value.split("\n") if text]
             values[field.path] = texts
         for inner in group.lists:
-            values.update(list_values(inner))
+            values.update(read_values(inner))
     return values
 
 
 def test_every_section_of_both_documents_round_trips_through_its_form():
-    """Opening a form and sending it untouched changes nothing."""
+    """Opening a form and submitting it unchanged changes nothing."""
     for user in ("oduya", "wayfarer"):
         document = read_example(user)
         for section in forms.SECTIONS:
             form = forms.make_form(document, section, {})
             items, field_errors = forms.read_form(
-                document, section, list_values(form)
+                document, section, read_values(form)
             )
             assert field_errors == {}
             again = declaration.Declaration.from_config(
@@ -47,12 +47,12 @@
             assert declaration.unstructure(again) == document
 
 
-def test_half_filled_form_names_each_empty_field_and_keeps_what_was_typed():
-    """A newcomer adds a customer and sends the form too early."""
+def test_incomplete_form_reports_each_field_and_keeps_what_was_typed():
+    """A new customer is submitted without a name and with a bad weight."""
     document = read_example("wayfarer")
     forms.edit_list(document, "add", "customers")
     form = forms.make_form(document, "customers", {})
-    values = list_values(form)
+    values = read_values(form)
     values["customers.10.weight"] = ["heavy"]
     items, field_errors = forms.read_form(document, "customers", values)
     assert field_errors["customers.10.name"] == "fill this in"
@@ -60,22 +60,24 @@
     assert items[10]["weight"] == "heavy"
 
 
-def test_fault_of_the_checker_is_shown_at_its_field():
-    """Errors name things by name or by place; forms know places only."""
+def test_validation_error_is_shown_at_its_field():
+    """Error messages use names or indexes; paths in forms use indexes."""
     document = read_example("oduya")
-    find = forms.resolve_path
-    assert find(document, "customers.lekki-club.tasks") == "customers.2.tasks"
-    assert find(document, "models[1].versions[0].cost") == (
+    resolve = forms.resolve_path
+    assert (
+        resolve(document, "customers.lekki-club.tasks") == "customers.2.tasks"
+    )
+    assert resolve(document, "models[1].versions[0].cost") == (
         "models.1.versions.0.cost"
     )
-    assert find(document, "rollouts.sorter-4-december.stages[1].share") == (
+    assert resolve(document, "rollouts.sorter-4-december.stages[1].share") == (
         "rollouts.0.stages.1.share"
     )
-    assert find(document, "nothing.like[7].that") == "nothing.like.7.that"
+    assert resolve(document, "nothing.like[7].that") == "nothing.like.7.that"
 
 
-def test_new_customer_in_the_middle_is_one_difference():
-    """Comparing by place would show every later customer as changed."""
+def test_customer_inserted_in_the_middle_is_one_change():
+    """Comparing by index would show every later customer as changed."""
     before = read_example("oduya")
     after = copy.deepcopy(before)
     after["customers"].insert(
@@ -85,8 +87,8 @@
     assert (change.kind, change.path) == ("added", "customers.agege-schools")
 
 
-def test_changes_of_two_operators_in_different_places_are_both_kept():
-    """One withdraws a version while the other changes a weight."""
+def test_changes_of_two_operators_to_different_fields_are_both_kept():
+    """One operator withdraws a version, the other changes a weight."""
     base = read_example("oduya")
     mine, theirs = copy.deepcopy(base), copy.deepcopy(base)
     mine["customers"][1]["weight"] = 9.0
@@ -99,8 +101,8 @@
     assert merged.document["rollouts"] == []
 
 
-def test_same_place_changed_by_two_operators_is_named():
-    """Both set a weight; the second must see that the first did too."""
+def test_field_changed_by_two_operators_is_reported_as_a_conflict():
+    """Both operators set one weight; the conflict is reported."""
     base = read_example("oduya")
     mine, theirs = copy.deepcopy(base), copy.deepcopy(base)
     mine["customers"][1]["weight"] = 9.0
@@ -118,21 +120,21 @@
 
 @hypothesis.settings(derandomize=True, max_examples=50, deadline=None)
 @hypothesis.given(edits, edits)
-def test_taking_over_loses_no_change_of_either_operator(mine, theirs):
-    """Weights set by either are in the result; mine where both did."""
+def test_merging_loses_no_change_of_either_operator(mine, theirs):
+    """The result has every changed weight; ours where both changed it."""
     base = read_example("oduya")
 
     def apply(changes):
         document = copy.deepcopy(base)
-        for place, weight in changes:
-            document["customers"][place]["weight"] = float(weight)
+        for number, weight in changes:
+            document["customers"][number]["weight"] = float(weight)
         return document
 
     first, second = apply(mine), apply(theirs)
     merged = comparison.take_over(base, first, second).document
-    for place in range(10):
+    for number in range(10):
         weights = [
-            each["customers"][place]["weight"]
+            each["customers"][number]["weight"]
             for each in (base, first, second, merged)
         ]
         changed = weights[1] != weights[0]
--- a/tests/cover/test_forwarding_explain.py
+++ b/tests/cover/test_forwarding_explain.py
@@ -1,4 +1,4 @@
-"""The operators' tool puts one request's log lines together."""
+"""The commands explain and check_settings for forwarded routes."""
 
 import json
 import os
@@ -30,8 +30,8 @@
     )
 
 
-def test_lines_of_a_request_are_told_in_order():
-    """Two entry VMs and a stranger wrote lines; one request is asked for."""
+def test_log_lines_of_a_request_are_printed_in_time_order():
+    """Logs of two entry VMs are merged; other lines are left out."""
     rows = explain.format_request_log("0042", LINES)
     assert len(rows) == 2
     assert "+     0 ms" in rows[0]
@@ -42,21 +42,21 @@
 
 
 def test_tool_explains_an_id_of_digits():
-    """Ids may look like numbers; leading zeros count."""
+    """Fire must not parse an id as a number, which drops leading zeros."""
     done = run_tool("explain", "0042", text="\n".join(LINES))
     assert done.returncode == 0, done.stderr
     assert done.stdout.count(" ms ") == 2
 
 
-def test_unknown_id_is_said_so():
-    """A typing error must not look like a request without a history."""
+def test_unknown_id_is_reported_as_an_error():
+    """A mistyped id must not look like a request without log lines."""
     done = run_tool("explain", "0043", text="\n".join(LINES))
     assert done.returncode == 1
     assert "no line names request 0043" in done.stderr
 
 
-def test_settings_are_checked_before_they_are_used():
-    """An operator writes a port that is none."""
+def test_invalid_settings_are_reported_with_the_field():
+    """A port that is not a number is reported with its field."""
     settings = {
         "name": "edge-1",
         "failure_domain": "north",
--- a/tests/failures/test_product_tools.py
+++ b/tests/failures/test_product_tools.py
@@ -1,4 +1,4 @@
-"""The operators' tool against running entry VMs."""
+"""Tests of the operators' tool against running entry VMs."""
 
 import json
 import os
@@ -28,7 +28,10 @@
 
 
 def test_operators_see_state_and_histograms_of_running_entry_vms():
-    """A newcomer asks what the system does, first with a wrong key."""
+    """status, top, histogram and bills agree with what was answered.
+
+    A wrong operators' key is refused with a hint.
+    """
     with deployment.Deployment(test_whole_path.SMALL) as running:
         jobs = demo.make_jobs(running, 12, seed=3)
         answered = [r for r in map(demo.send_job, jobs) if r.status == 200]
@@ -51,25 +54,25 @@
         assert sum(count for count, _ in bills.values()) <= len(answered)
 
 
-def test_doctor_names_what_does_not_answer_and_what_to_do():
-    """An endpoint dies and the list, which lags, still shows it.
+def test_doctor_reports_what_does_not_answer_with_a_remedy():
+    """An endpoint is killed while the platform's list still has it.
 
-    The newcomer runs the doctor on an entry VM's settings.
+    The doctor runs on an entry VM's settings file, before and after.
     """
     with deployment.Deployment(test_whole_path.SMALL) as running:
         path = str(running.folder / "oduya-0.yaml")
-        well = run_tool("doctor", path)
-        assert well.returncode == 0, well
+        healthy = run_tool("doctor", path)
+        assert healthy.returncode == 0, healthy
         running.processes["matchers-0"].kill()
         running.processes["matchers-0"].wait()
-        unwell = run_tool("doctor", path)
-        assert unwell.returncode == 1
-        assert "BAD  endpoint matchers-0" in unwell.stderr
-        assert "-> start it" in unwell.stderr
+        failing = run_tool("doctor", path)
+        assert failing.returncode == 1
+        assert "BAD  endpoint matchers-0" in failing.stderr
+        assert "-> start it" in failing.stderr
 
 
 def test_demo_of_forwarded_routes_serves_everybody():
-    """A newcomer plays it: servers decline and break off, callers see none."""
+    """Servers decline calls and break off; every caller gets a response."""
     results = trio.run(demo_forwarded.play, 60)
     assert len(results) >= 60
     assert {result.kind for result in results} == {"look-up", "log", "stream"}
