--- a/src/carawayward/commands/bills.py
+++ b/src/carawayward/commands/bills.py
@@ -31,7 +31,7 @@
 def export(log: str, file: str) -> str:
     """Append the bills that are new in the log to a ledger file.
 
-    Run this more often than every quarter of the log's retention. If
+    Run this at intervals shorter than a quarter of the log's retention. If
     records expired before they were exported, the command reports their
     offsets and fails.
 
--- a/src/carawayward/console/forms.py
+++ b/src/carawayward/console/forms.py
@@ -192,10 +192,7 @@
     elif hint in (int, float):
         kind = "number"
     elif origin is list and name in REFERENCES and name != "cascade":
-        kind, choices = (
-            "checks",
-            list_referable_names(document, REFERENCES[name]),
-        )
+        kind, choices = "checks", list_choices(document, REFERENCES[name])
         shown = "\n".join(map(str, value or []))
     elif origin is list:
         kind, shown = "lines", "\n".join(map(str, value or []))
@@ -204,7 +201,7 @@
         shown = "\n".join(f"{k}: {v}" for k, v in (value or {}).items())
     elif name in REFERENCES:
         kind = "select"
-        choices = ("", *list_referable_names(document, REFERENCES[name]))
+        choices = ("", *list_choices(document, REFERENCES[name]))
     return Field(
         path=path,
         label=name.replace("_", " "),
@@ -216,7 +213,7 @@
     )
 
 
-def list_referable_names(document: Plain, what: str) -> tuple[str, ...]:
+def list_choices(document: Plain, what: str) -> tuple[str, ...]:
     """Return the names that a field may refer to."""
     if what == "versions":
         return tuple(
--- a/src/carawayward/console/overview.py
+++ b/src/carawayward/console/overview.py
@@ -10,7 +10,7 @@
 def describe(
     board: blackboard_module.Blackboard, now_ms: float
 ) -> dict[str, typing.Any]:
-    """Return everything that the overview template reads."""
+    """Return the values that the overview template reads as ``view``."""
     config = board.config
     revision = config.revision if config else 0
     return {
@@ -36,7 +36,7 @@
 def list_confirmations(
     board: blackboard_module.Blackboard, now_ms: float
 ) -> list[dict[str, typing.Any]]:
-    """Return a row per entry VM: whether it has the revision in force."""
+    """Return a row per entry VM with its revision and confirmation."""
     vms = {vm.name: vm for vm in board.entry_vms.values()}
     rows = []
     for name, state in sorted(board.list_confirmations(now_ms).items()):
--- a/tests/common/browser.py
+++ b/tests/common/browser.py
@@ -53,9 +53,10 @@
             return
         form = self.forms[-1]
         if tag == "input":
-            unchecked = tag_attrs.get(
-                "type"
-            ) == "checkbox" and "checked" not in (tag_attrs)
+            unchecked = (
+                tag_attrs.get("type") == "checkbox"
+                and "checked" not in tag_attrs
+            )
             if not unchecked:
                 value = tag_attrs.get("value", "")
                 form.fields.append((tag_attrs.get("name", ""), value))
--- a/tests/cover/test_console.py
+++ b/tests/cover/test_console.py
@@ -17,10 +17,10 @@
     return declaration.unstructure(declaration.Declaration.from_text(text))
 
 
-def read_values(things: forms.ThingList) -> dict[str, list[str]]:
+def read_values(form: forms.ThingList) -> dict[str, list[str]]:
     """Return what a browser sends for a form that was not changed."""
     values: dict[str, list[str]] = {}
-    for group in things.groups:
+    for group in form.groups:
         for field in group.fields:
             texts = [field.value]
             if field.kind == "checks":
@@ -64,8 +64,8 @@
     """Error messages use names or indexes; paths in forms use indexes."""
     document = read_example("oduya")
     resolve = forms.resolve_path
-    assert (
-        resolve(document, "customers.lekki-club.tasks") == "customers.2.tasks"
+    assert resolve(document, "customers.lekki-club.tasks") == (
+        "customers.2.tasks"
     )
     assert resolve(document, "models[1].versions[0].cost") == (
         "models.1.versions.0.cost"
--- a/tests/failures/test_quality_console.py
+++ b/tests/failures/test_quality_console.py
@@ -1,7 +1,7 @@
 """The console over HTTP and the operators' tool, with two operators at once.
 
-The tests use no installed browser. A small client without scripts opens the
-pages and submits their forms over HTTP.
+No browser engine is installed for the tests, so a small client without
+scripts opens the pages and submits their forms over HTTP.
 """
 
 import json
