--- a/src/carawayward/commands/inspect.py
+++ b/src/carawayward/commands/inspect.py
@@ -1,4 +1,4 @@
-"""Commands that look at running entry VMs: status, top, histogram."""
+"""Commands that query running entry VMs: status, top, histogram."""
 
 import json
 import os
@@ -16,24 +16,25 @@
 
 
 def status(node: str, key: str = "") -> str:
-    """Print one entry VM's state and what it knows of the others.
+    """Print an entry VM's state, its peers, roll-outs and endpoints.
 
     Args:
-        node: the operators' address of an entry VM, ip:port.
+        node: address of an entry VM's operators' listener, ip:port.
         key: operators' key; by default from CARAWAYWARD_OPERATOR_KEY.
     """
-    return format_status(fetch(node, "/v1/status", key))
+    return format_status(fetch_json(node, "/v1/status", key))
 
 
 def top(*nodes: str, metric: str = "latency", key: str = "") -> str:
-    """Print percentiles per customer and class, the slowest first.
+    """Print percentiles per customer and class, highest p99 first.
 
     Args:
-        nodes: operators' addresses; histograms are added up over them.
+        nodes: addresses of entry VMs' operators' listeners, ip:port;
+            their histograms are merged.
         metric: latency, first_token, between_tokens, queue_wait or cost.
         key: operators' key; by default from CARAWAYWARD_OPERATOR_KEY.
     """
-    merged = merge_rows(fetch_all(nodes, key), metric)
+    merged = merge_histograms(fetch_histogram_rows(nodes, key), metric)
     lines = [f"{'customer':<20}{'class':<20}{'count':>8}{'p50':>9}{'p95':>9}"]
     lines[0] += f"{'p99':>9}{'max':>9}"
     ranked = sorted(
@@ -41,9 +42,9 @@
     )
     for (customer, kind), total in ranked:
         marks = [total.get_value_at_percentile(p) for p in (50, 95, 99)]
-        figures = "".join(f"{m:>9}" for m in [*marks, total.get_max_value()])
+        columns = "".join(f"{m:>9}" for m in [*marks, total.get_max_value()])
         count = total.get_total_count()
-        lines.append(f"{customer:<20}{kind:<20}{count:>8}{figures}")
+        lines.append(f"{customer:<20}{kind:<20}{count:>8}{columns}")
     return "\n".join(lines)
 
 
@@ -54,24 +55,26 @@
     metric: str = "latency",
     key: str = "",
 ) -> str:
-    """Draw a histogram, added up over entry VMs.
+    """Print a histogram as a bar chart, merged over entry VMs.
 
     Args:
-        nodes: operators' addresses of entry VMs.
+        nodes: addresses of entry VMs' operators' listeners, ip:port.
         customer: only this customer; all by default.
         kind: only this task or service; all by default.
         metric: latency, first_token, between_tokens, queue_wait or cost.
         key: operators' key; by default from CARAWAYWARD_OPERATOR_KEY.
     """
     total = make_histogram(metric)
-    for (of, what), part in merge_rows(fetch_all(nodes, key), metric).items():
+    for (of, what), part in merge_histograms(
+        fetch_histogram_rows(nodes, key), metric
+    ).items():
         if customer in ("", of) and kind in ("", what):
             total.add(part)
-    return draw(total)
+    return format_histogram(total)
 
 
-def fetch(node: str, path: str, key: str) -> typing.Any:
-    """Read JSON from an entry VM's operators' listener."""
+def fetch_json(node: str, path: str, key: str) -> typing.Any:
+    """Fetch JSON from an entry VM's operators' listener."""
     key = key or os.environ.get(KEY_VARIABLE, "")
     names = ("connect", "read", "write", "pool")
     try:
@@ -94,17 +97,19 @@
     return json.loads(response.content)
 
 
-def fetch_all(nodes: tuple[str, ...], key: str) -> list[dict]:
-    """All histogram rows of several entry VMs."""
+def fetch_histogram_rows(nodes: tuple[str, ...], key: str) -> list[dict]:
+    """Fetch the histogram rows of several entry VMs."""
     if not nodes:
         raise errors.BadRequest(
-            "nodes", "none", "name operators' addresses of entry VMs"
+            "nodes",
+            "none",
+            "give the operators' address of at least one entry VM",
         )
-    return [row for n in nodes for row in fetch(n, "/v1/histograms", key)]
+    return [row for n in nodes for row in fetch_json(n, "/v1/histograms", key)]
 
 
 def make_histogram(metric: str) -> hdr.HdrHistogram:
-    """An empty histogram of a metric."""
+    """Make an empty histogram for a metric, given by its label."""
     for each in metrics.Metric:
         if each.label == metric:
             return hdr.HdrHistogram(
@@ -114,10 +119,10 @@
     raise errors.BadRequest("metric", metric, f"name one of: {names}")
 
 
-def merge_rows(
+def merge_histograms(
     rows: list[dict], metric: str
 ) -> dict[tuple[str, str], hdr.HdrHistogram]:
-    """Add up rows of one metric by customer and class."""
+    """Merge the rows of one metric by customer and class."""
     merged: dict[tuple[str, str], hdr.HdrHistogram] = {}
     for row in rows:
         if row["metric"] == metric:
@@ -127,26 +132,26 @@
     return merged
 
 
-def draw(total: hdr.HdrHistogram) -> str:
-    """A histogram as text: a line for each power of two."""
+def format_histogram(total: hdr.HdrHistogram) -> str:
+    """Format a histogram as text, one bar per power of two."""
     bounds: list[int] = [1]
     while bounds[-1] < max(1, total.get_max_value()):
         bounds.append(bounds[-1] * 2)
     counts = [0] * len(bounds)
     for item in total.get_recorded_iterator():
         value = item.value_iterated_to
-        place = next(i for i, b in enumerate(bounds) if value <= b * 1.01)
-        counts[place] += item.count_added_in_this_iter_step
-    most = max([1, *counts])
+        slot = next(i for i, b in enumerate(bounds) if value <= b * 1.01)
+        counts[slot] += item.count_added_in_this_iter_step
+    max_count = max([1, *counts])
     lines = []
     for bound, count in zip(bounds, counts, strict=True):
-        bar = "#" * round(BAR_WIDTH * count / most)
+        bar = "#" * round(BAR_WIDTH * count / max_count)
         lines.append(f"<= {bound:>8} {count:>8} {bar}")
     return "\n".join(lines)
 
 
 def format_rollout(trial: dict) -> str:
-    """A roll-out's state as a line of text."""
+    """Format a roll-out's state as one line."""
     halted = f" ({trial['halted']})" if trial["halted"] else ""
     return (
         f"roll-out {trial['name']}: {trial['state']}{halted}, "
@@ -157,7 +162,7 @@
 
 
 def format_status(body: dict) -> str:
-    """A status as a page of text."""
+    """Format the body of /v1/status as text."""
     fresh = "fresh" if body["fresh"] else "CUT OFF: not heard from the log"
     lines = [
         f"{body['name']} ({body['failure_domain']}): {body['state']}, "
--- a/src/carawayward/console/forms.py
+++ b/src/carawayward/console/forms.py
@@ -1,8 +1,8 @@
-"""Forms made from the declaration's own classes, and read back.
+"""HTML forms generated from the declaration's classes, and their parsing.
 
 A form is a tree of groups and fields with paths such as
-``customers.0.weight``. It is made from the attrs classes, so a field that
-the declaration gains appears here by itself.
+``customers.0.weight``. It is generated from the attrs classes, so a field
+that is added to the declaration appears in the form without further code.
 """
 
 import enum
@@ -17,7 +17,8 @@
 Values = typing.Mapping[str, list[str]]
 
 SECTIONS = ("customers", "models", "tasks", "services", "rollouts", "pools")
-# Fields whose texts name something else in the document.
+# Fields that hold names defined elsewhere in the document, and where those
+# are defined.
 REFERENCES = {
     "tasks": "tasks",
     "models": "models",
@@ -29,9 +30,9 @@
     "baseline": "versions",
 }
 HELP = {
-    "key_digests": "one a line; carawaywardctl digest KEY prints one",
-    "exposure_budget": "one a line: failure domain, colon, answers",
-    "cascade": "from cheap to strong, one a line",
+    "key_digests": "one per line; carawaywardctl digest KEY prints one",
+    "exposure_budget": "one per line, as failure domain: number of answers",
+    "cascade": "from cheap to strong, one per line",
     "share": "of new sessions, above 0 and up to 1",
     "dwell_ms": "milliseconds",
     "deadline_ms": "milliseconds",
@@ -42,7 +43,10 @@
 
 @attrs.frozen(kw_only=True)
 class Field:
-    """One input."""
+    """One input of a form.
+
+    ``kind`` selects the element: text, number, lines, select or checks.
+    """
 
     path: str
     label: str
@@ -55,7 +59,7 @@
 
 @attrs.frozen(kw_only=True)
 class Group:
-    """One thing with its inputs and the lists of things inside it."""
+    """The form of one object: its inputs and the lists nested in it."""
 
     path: str
     title: str
@@ -65,25 +69,25 @@
 
 @attrs.frozen(kw_only=True)
 class ThingList:
-    """A list of things that can be added to and removed from."""
+    """The form of a list of objects, which can be added and removed."""
 
     path: str
     title: str
     groups: list[Group]
 
 
-def read_type(kind: typing.Any) -> typing.Any:
-    """A field's type without ``| None``."""
+def unwrap_optional(kind: typing.Any) -> typing.Any:
+    """Return a field's type without ``| None``."""
     if isinstance(kind, types.UnionType):
         inner = [a for a in typing.get_args(kind) if a is not type(None)]
         return inner[0]
     return kind
 
 
-def list_attributes(
+def list_fields(
     kind: type,
 ) -> list[tuple[str, typing.Any, bool]]:
-    """Names, types and requiredness of a class's fields."""
+    """Return each field's name, its type and whether it is required."""
     hints = typing.get_type_hints(kind)
     return [
         (each.name, hints[each.name], each.default is attrs.NOTHING)
@@ -91,23 +95,26 @@
     ]
 
 
-def find_item_type(section: str) -> type:
-    """The class of a section's things."""
+def get_item_type(section: str) -> type:
+    """Return the class of a section's items."""
     hints = typing.get_type_hints(declaration.Declaration)
     return typing.get_args(hints[section])[0]
 
 
 def make_form(
-    document: Plain, section: str, faults: typing.Mapping[str, str]
+    document: Plain, section: str, field_errors: typing.Mapping[str, str]
 ) -> ThingList:
-    """The form of one section of a draft."""
+    """Make the form of one section of a draft.
+
+    ``field_errors`` holds messages by path, shown at their fields.
+    """
     return _make_list(
-        find_item_type(section),
+        get_item_type(section),
         document.get(section) or [],
         section,
         section,
         document,
-        faults,
+        field_errors,
     )
 
 
@@ -117,10 +124,10 @@
     path: str,
     title: str,
     document: Plain,
-    faults: typing.Mapping[str, str],
+    field_errors: typing.Mapping[str, str],
 ) -> ThingList:
     groups = [
-        _make_group(kind, item, f"{path}.{index}", document, faults)
+        _make_group(kind, item, f"{path}.{index}", document, field_errors)
         for index, item in enumerate(items)
     ]
     return ThingList(path=path, title=title, groups=groups)
@@ -131,27 +138,31 @@
     item: Plain,
     path: str,
     document: Plain,
-    faults: typing.Mapping[str, str],
+    field_errors: typing.Mapping[str, str],
 ) -> Group:
     fields: list[Field] = []
     lists: list[ThingList] = []
-    for name, declared, _ in list_attributes(kind):
+    for name, declared_type, _ in list_fields(kind):
         inner = f"{path}.{name}"
         value = item.get(name)
-        hint = read_type(declared)
+        hint = unwrap_optional(declared_type)
         if attrs.has(hint):
-            # A part that may be left out, such as a check: its own fields
-            # stand among the others, and all empty means none.
-            nested = _make_group(hint, value or {}, inner, document, faults)
+            # A nested object, such as a check, may be left out. Its fields
+            # are shown among the group's own; all empty means absent.
+            nested = _make_group(
+                hint, value or {}, inner, document, field_errors
+            )
             fields += nested.fields
         elif _is_thing_list(hint):
             of = typing.get_args(hint)[0]
             lists.append(
-                _make_list(of, value or [], inner, name, document, faults)
+                _make_list(
+                    of, value or [], inner, name, document, field_errors
+                )
             )
         else:
             fields.append(
-                _make_field(name, hint, value, inner, document, faults)
+                _make_field(name, hint, value, inner, document, field_errors)
             )
     title = str(item.get("name") or "new")
     return Group(path=path, title=title, fields=fields, lists=lists)
@@ -168,7 +179,7 @@
     value: Plain,
     path: str,
     document: Plain,
-    faults: typing.Mapping[str, str],
+    field_errors: typing.Mapping[str, str],
 ) -> Field:
     origin = typing.get_origin(hint)
     choices: tuple[str, ...] = ()
@@ -181,7 +192,7 @@
     elif hint in (int, float):
         kind = "number"
     elif origin is list and name in REFERENCES and name != "cascade":
-        kind, choices = "checks", list_names(document, REFERENCES[name])
+        kind, choices = "checks", list_choices(document, REFERENCES[name])
         shown = "\n".join(map(str, value or []))
     elif origin is list:
         kind, shown = "lines", "\n".join(map(str, value or []))
@@ -190,7 +201,7 @@
         shown = "\n".join(f"{k}: {v}" for k, v in (value or {}).items())
     elif name in REFERENCES:
         kind = "select"
-        choices = ("", *list_names(document, REFERENCES[name]))
+        choices = ("", *list_choices(document, REFERENCES[name]))
     return Field(
         path=path,
         label=name.replace("_", " "),
@@ -198,12 +209,12 @@
         value=shown,
         choices=choices,
         help=HELP.get(name, ""),
-        error=faults.get(path, ""),
+        error=field_errors.get(path, ""),
     )
 
 
-def list_names(document: Plain, what: str) -> tuple[str, ...]:
-    """Names that a field may refer to."""
+def list_choices(document: Plain, what: str) -> tuple[str, ...]:
+    """Return the names that a field may refer to."""
     if what == "versions":
         return tuple(
             version.get("name", "")
@@ -216,61 +227,70 @@
 def read_form(
     document: Plain, section: str, values: Values
 ) -> tuple[list, dict[str, str]]:
-    """A section's things as filled in, and a message for each bad field.
+    """Return a section's items as submitted, and errors by field path.
 
-    The number of things is that of the draft that made the form. What
-    cannot be read is kept as it was typed, so that nothing is lost.
+    The number of items is that in the draft from which the form was made.
+    A value that cannot be parsed is kept as it was typed, so that the
+    operator can correct it.
     """
-    faults: dict[str, str] = {}
+    field_errors: dict[str, str] = {}
     items = [
         _read_group(
-            find_item_type(section), item, f"{section}.{index}", values, faults
+            get_item_type(section),
+            item,
+            f"{section}.{index}",
+            values,
+            field_errors,
         )
         for index, item in enumerate(document.get(section) or [])
     ]
-    return items, faults
+    return items, field_errors
 
 
 def _read_group(
-    kind: type, item: Plain, path: str, values: Values, faults: dict[str, str]
+    kind: type,
+    item: Plain,
+    path: str,
+    values: Values,
+    field_errors: dict[str, str],
 ) -> Plain:
     read: dict[str, Plain] = {}
-    for name, declared, required in list_attributes(kind):
+    for name, declared_type, required in list_fields(kind):
         inner = f"{path}.{name}"
-        hint = read_type(declared)
+        hint = unwrap_optional(declared_type)
         if attrs.has(hint):
-            part_faults: dict[str, str] = {}
-            part = _read_group(
-                hint, item.get(name) or {}, inner, values, part_faults
+            nested_errors: dict[str, str] = {}
+            nested = _read_group(
+                hint, item.get(name) or {}, inner, values, nested_errors
             )
-            if part:
-                faults.update(part_faults)
-                read[name] = part
+            if nested:
+                field_errors.update(nested_errors)
+                read[name] = nested
             continue
         if _is_thing_list(hint):
             of = typing.get_args(hint)[0]
             read[name] = [
-                _read_group(of, each, f"{inner}.{index}", values, faults)
+                _read_group(of, each, f"{inner}.{index}", values, field_errors)
                 for index, each in enumerate(item.get(name) or [])
             ]
             continue
         texts = [text.strip() for text in values.get(inner, [])]
         if not any(texts):
             if required and typing.get_origin(hint) is not list:
-                faults[inner] = "fill this in"
+                field_errors[inner] = "fill this in"
             elif typing.get_origin(hint) is list:
                 read[name] = []
             continue
         try:
-            read[name] = read_value(hint, texts)
+            read[name] = parse_value(hint, texts)
         except ValueError as fault:
-            faults[inner] = str(fault)
+            field_errors[inner] = str(fault)
             read[name] = texts[0]
     return read
 
 
-def read_value(hint: typing.Any, texts: list[str]) -> Plain:
-    """A typed value from a form's texts; raise ValueError with a remedy."""
+def parse_value(hint: typing.Any, texts: list[str]) -> Plain:
+    """Parse a field's texts; raise ValueError with a remedy."""
     lines = [x.strip() for t in texts for x in t.splitlines() if x.strip()]
     origin = typing.get_origin(hint)
     if origin is list:
@@ -280,7 +300,9 @@
         try:
             return {key.strip(): int(value) for key, _, value in pairs}
         except ValueError:
-            raise ValueError("write lines such as: hall-a: 10") from None
+            raise ValueError(
+                "write one entry per line, such as hall-a: 10"
+            ) from None
     if hint is bool:
         return texts[0] == "true"
     if hint in (int, float):
@@ -292,34 +314,36 @@
     return texts[0]
 
 
-def find_path(document: Plain, field: str) -> str:
-    """The form's path of a field that an error names by names.
+def resolve_path(document: Plain, field: str) -> str:
+    """Convert the field path of an error message to that of the form.
 
     ``customers.lekki-club.tasks`` and ``customers[2].tasks`` both become
     ``customers.2.tasks``.
     """
     steps = field.replace("[", ".").replace("]", "").split(".")
-    place: Plain = document
+    current: Plain = document
     path = []
     for step in steps:
-        if isinstance(place, list):
-            names = [str(each.get("name")) for each in place]
+        if isinstance(current, list):
+            names = [str(each.get("name")) for each in current]
             if step in names:
                 step = str(names.index(step))
-            place = place[int(step)] if step.isdecimal() else None
-        elif isinstance(place, dict):
-            place = place.get(step)
+            current = current[int(step)] if step.isdecimal() else None
+        elif isinstance(current, dict):
+            current = current.get(step)
         path.append(step)
     return ".".join(path)
 
 
 def edit_list(document: Plain, action: str, path: str) -> None:
-    """Add an empty thing to a list, or remove one, in place."""
+    """Add an empty item to a list, or remove an item, in place."""
     *steps, last = path.split(".")
-    place = document
+    current = document
     for step in steps:
-        place = place[int(step)] if isinstance(place, list) else place[step]
+        current = (
+            current[int(step)] if isinstance(current, list) else current[step]
+        )
     if action == "add":
-        place[last] = [*(place.get(last) or []), {}]
+        current[last] = [*(current.get(last) or []), {}]
     else:
-        del place[int(last)]
+        del current[int(last)]
