--- a/src/carawayward/forwarding/load_reports.py
+++ b/src/carawayward/forwarding/load_reports.py
@@ -111,10 +111,10 @@
         self._socket = trio.socket.from_stdlib_socket(udp_socket)
         await self.registration.start(nursery)
         for task in (self._listen, self._join):
-            nursery.start_soon(supervision.keep_running, task, ())
+            nursery.start_soon(supervision.run_with_restarts, task, ())
         for channel in self.channels:
             nursery.start_soon(
-                supervision.keep_running, self._send_reports, (channel,)
+                supervision.run_with_restarts, self._send_reports, (channel,)
             )
 
     async def close(self) -> None:
@@ -311,7 +311,7 @@
             sender=sender if introduces else sender.number,
             sequence=self.sequence,
             stale=self.board.store_failing
-            or not self.board.is_fresh(self.clock.boot_ms()),
+            or not self.board.is_key_lease_valid(self.clock.boot_ms()),
             loads={
                 load_report_messages.hash_name(engine): load
                 for engine, load in most_loaded[:MAX_ENGINES_PER_REPORT]
--- a/src/carawayward/forwarding/rollout_rounds.py
+++ b/src/carawayward/forwarding/rollout_rounds.py
@@ -76,7 +76,7 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Start the rounds."""
-        nursery.start_soon(supervision.keep_running, self._run_rounds, ())
+        nursery.start_soon(supervision.run_with_restarts, self._run_rounds, ())
 
     async def close(self) -> None:
         """Nothing to release; the nursery ends the task."""
@@ -113,7 +113,7 @@
             self.latest[status.service] = status
             self._apply_status(status)
 
-    def prove(self, as_of_ms: float) -> None:
+    def mark_current(self, as_of_ms: float) -> None:
         """The statuses were current at ``as_of_ms`` on the boot clock."""
         self.as_of_ms = max(self.as_of_ms, as_of_ms)
         for rollout in self.rollouts.rollouts.values():
--- a/src/carawayward/gateway/once.py
+++ b/src/carawayward/gateway/once.py
@@ -330,7 +330,9 @@
         """Relay a call to the holder of its right, which alone may run it."""
         name, incarnation = handover.follow_heirs(self.board.heirs, holder)
         try:
-            link = await self.hub.reach(name, self._compute_timeout_ms(call))
+            link = await self.hub.get_link(
+                name, self._compute_timeout_ms(call)
+            )
         except errors.PeerUnavailable:
             return once_outcomes.make_holder_unavailable("cannot be reached")
         if link.incarnation != incarnation:
--- a/tests/common/browser.py
+++ b/tests/common/browser.py
@@ -1,4 +1,4 @@
-"""A browser without scripts: cookies, forms and buttons over real HTTP."""
+"""Test client for HTML pages: cookies, forms and buttons over HTTP."""
 
 import html.parser
 import typing
@@ -10,7 +10,7 @@
 
 @attrs.define
 class Form:
-    """One form of a page, as it would be sent."""
+    """A form of a page, with the fields that a browser would submit."""
 
     action: str = ""
     method: str = "get"
@@ -18,69 +18,72 @@
     buttons: list[dict[str, str]] = attrs.field(factory=list)
 
     def set(self, name: str, *values: str) -> None:
-        """Fill in a field."""
+        """Replace the values of a field."""
         assert any(known == name for known, _ in self.fields), name
         self.fields = [each for each in self.fields if each[0] != name]
         self.fields += [(name, value) for value in values]
 
     def get(self, name: str) -> str:
-        """What a field holds."""
+        """Return the first value of a field."""
         return next(value for known, value in self.fields if known == name)
 
 
-class _Reader(html.parser.HTMLParser):
-    """Collects a page's forms."""
+class _FormParser(html.parser.HTMLParser):
+    """Collects the forms of an HTML page."""
 
     def __init__(self) -> None:
         super().__init__()
         self.forms: list[Form] = []
-        self.area = ""
+        self.textarea = ""
         self.text = ""
         self.select = ""
 
     def handle_starttag(
         self, tag: str, attributes: list[tuple[str, str | None]]
     ) -> None:
-        """Note forms and their fields."""
-        given = {name: value or "" for name, value in attributes}
+        """Record forms, their fields and buttons."""
+        tag_attrs = {name: value or "" for name, value in attributes}
         if tag == "form":
             self.forms.append(
-                Form(given.get("action", ""), given.get("method", "get"))
+                Form(
+                    tag_attrs.get("action", ""), tag_attrs.get("method", "get")
+                )
             )
         if not self.forms:
             return
         form = self.forms[-1]
         if tag == "input":
-            unticked = given.get("type") == "checkbox" and "checked" not in (
-                given
+            unchecked = (
+                tag_attrs.get("type") == "checkbox"
+                and "checked" not in tag_attrs
             )
-            if not unticked:
-                value = given.get("value", "")
-                form.fields.append((given.get("name", ""), value))
+            if not unchecked:
+                value = tag_attrs.get("value", "")
+                form.fields.append((tag_attrs.get("name", ""), value))
         elif tag == "button":
-            form.buttons.append(given)
+            form.buttons.append(tag_attrs)
         elif tag == "textarea":
-            self.area, self.text = given.get("name", ""), ""
+            self.textarea, self.text = tag_attrs.get("name", ""), ""
         elif tag == "select":
-            self.select = given.get("name", "")
-        elif tag == "option" and "selected" in given:
-            form.fields.append((self.select, given.get("value", "")))
+            self.select = tag_attrs.get("name", "")
+        elif tag == "option" and "selected" in tag_attrs:
+            form.fields.append((self.select, tag_attrs.get("value", "")))
 
     def handle_data(self, data: str) -> None:
-        """Collect a text area's content."""
-        if self.area:
+        """Collect the content of a text area."""
+        if self.textarea:
             self.text += data
 
     def handle_endtag(self, tag: str) -> None:
-        """Finish a text area."""
-        if tag == "textarea" and self.area:
-            self.forms[-1].fields.append((self.area, self.text))
-            self.area = ""
+        """Record a text area as a field."""
+        if tag == "textarea" and self.textarea:
+            self.forms[-1].fields.append((self.textarea, self.text))
+            self.textarea = ""
 
 
 @attrs.define
 class Page:
-    """What came back, after redirects."""
+    """A response, after redirects."""
 
     status: int
     text: str
@@ -88,25 +91,28 @@
     headers: dict[str, str]
 
     def find_form(self, action: str) -> Form:
-        """The page's form with this action."""
-        reader = _Reader()
+        """Return the page's first form with this action."""
+        reader = _FormParser()
         reader.feed(self.text)
         return next(f for f in reader.forms if f.action == action)
 
 
 @attrs.define
 class Browser:
-    """One operator's browser at one entry VM."""
+    """An operator's session with one entry VM."""
 
     address: str
     cookies: dict[str, str] = attrs.field(factory=dict)
 
     def open(self, path: str) -> Page:
-        """Follow a link."""
+        """Open a path by GET."""
         return self._call("GET", path, None)
 
-    def press(self, form: Form, button: str) -> Page:
-        """Press a form's button, found by its value or ``formaction``."""
+    def submit(self, form: Form, button: str) -> Page:
+        """Submit a form with a button, found by its value or ``formaction``.
+
+        An empty name submits the form without a button.
+        """
         fields = list(form.fields)
         action = form.action
         for each in form.buttons:
@@ -120,19 +126,19 @@
         return self._call("POST", action, urllib.parse.urlencode(fields))
 
     def log_in(self, name: str, key: str) -> Page:
-        """Fill in the login form."""
+        """Submit the login form."""
         form = self.open("/console/login").find_form("/console/login")
         form.set("name", name)
         form.set("key", key)
-        return self.press(form, "")
+        return self.submit(form, "")
 
     def _call(self, method: str, path: str, body: str | None) -> Page:
-        jar = "; ".join(f"{k}={v}" for k, v in self.cookies.items())
-        sent: dict[str, typing.Any] = {"Cookie": jar}
+        cookie_header = "; ".join(f"{k}={v}" for k, v in self.cookies.items())
+        sent: dict[str, typing.Any] = {"Cookie": cookie_header}
         if body is not None:
             sent["Content-Type"] = "application/x-www-form-urlencoded"
         with httpcore.ConnectionPool() as pool:
-            reply = pool.request(
+            response = pool.request(
                 method,
                 f"http://{self.address}{path}",
                 headers=list(sent.items()),
@@ -141,11 +147,11 @@
             )
         headers = {
             name.decode().lower(): value.decode("latin-1")
-            for name, value in reply.headers
+            for name, value in response.headers
         }
         if "set-cookie" in headers:
             name, _, rest = headers["set-cookie"].partition("=")
             self.cookies[name] = rest.partition(";")[0]
-        if reply.status == 303:
+        if response.status == 303:
             return self._call("GET", headers["location"], None)
-        return Page(reply.status, reply.content.decode(), path, headers)
+        return Page(response.status, response.content.decode(), path, headers)
--- a/tests/cover/test_billing.py
+++ b/tests/cover/test_billing.py
@@ -75,7 +75,7 @@
         assert ledger.add([make_bill("a"), make_bill("b")], 5, 0) == 1
         stored = list(open_ledger(folder).read())
         assert stored == [make_bill("a"), make_bill("b")]
-        assert ledger_module.add_up(stored)["families"]["cost"] == 2.0
+        assert ledger_module.sum_by_customer(stored)["families"]["cost"] == 2.0
 
 
 def test_export_that_crashed_before_its_checkpoint_is_repeated():
--- a/tests/cover/test_store_polls.py
+++ b/tests/cover/test_store_polls.py
@@ -20,7 +20,7 @@
     bounds = settings.Bounds()
     assert noticed_ms + slow_ms <= bounds.drain_ms
     for lease_ms in range(4_000, 20_000, 500):
-        usable_ms = lease_ms - board_module.LEASE_MARGIN_MS
+        usable_ms = lease_ms - board_module.KEY_LEASE_MARGIN_MS
         poll_ms = store_polls.compute_table_poll_ms(usable_ms, bounds.apply_ms)
         own_ms = store_polls.OWN_READ_PART * usable_ms
         # A live delegate's reports are recent enough, so clients do not read
