--- a/src/carawayward/decisions/engine_load.py
+++ b/src/carawayward/decisions/engine_load.py
@@ -281,7 +281,7 @@
 ) -> Choice | None:
     """The engine that would finish reading the prompt first.
 
-    Engines in other failure domains count as having ``remote_weight`` more
+    Engines in other failure domains count as having ``remote_penalty`` more
     tokens to read.
     """
     expire_reports(loads, now_ms)
--- a/src/carawayward/gateway/app.py
+++ b/src/carawayward/gateway/app.py
@@ -175,8 +175,8 @@
             return replies.make_problem(
                 404,
                 "not known",
-                "no reachable entry VM has a record of the request; it may "
-                "have run on one that is gone",
+                "no entry VM that answers has seen the request; it may have "
+                "run on one that is gone",
                 outcome="not-known",
             )
         return responses.JSONResponse(found)
@@ -250,7 +250,7 @@
         if scheme.lower() != "bearer" or customer is None:
             raise errors.NotAuthenticated(
                 'send "Authorization: Bearer KEY" with a key that the '
-                "configuration in force lists"
+                "configuration in force knows"
             )
         return customer
 
@@ -264,7 +264,7 @@
     """
     return outcomes.Unknown(
         refusal.reason,
-        f"{refusal.remedy}, with the same ticket or key; an earlier attempt "
+        f"{refusal.remedy}, under the same ticket or key; an earlier attempt "
         "may have run",
         refusal.retry_after_ms,
     )
@@ -303,7 +303,7 @@
     reply = replies.make_problem(
         fault.status_code,
         fault.detail.lower(),
-        "see docs/openapi.yaml for the supported paths and methods",
+        "see docs/openapi.yaml for the paths and methods there are",
         not_run=True,
     )
     reply.headers.update(fault.headers or {})
--- a/src/carawayward/gateway/completion_reply.py
+++ b/src/carawayward/gateway/completion_reply.py
@@ -59,7 +59,7 @@
     def _report_outcome(self) -> None:
         outcome = self.outcome or outcomes.Unknown(
             outcomes.Reason.CALLER_LEFT,
-            "the caller left while the request ran; it may be sent again",
+            "the caller left while it ran; it may be sent again",
         )
         key = self.completion.request_key
         self.record_outcome(self.customer.name, key, outcome)
--- a/src/carawayward/gateway/lifecycle.py
+++ b/src/carawayward/gateway/lifecycle.py
@@ -57,7 +57,7 @@
         if not self.bills.has_room():
             return outcomes.NotRun(
                 outcomes.Reason.NOT_BILLABLE,
-                "bills cannot be stored durably at present; retry later",
+                "bills wait for the platform log; come back later",
                 5 * RETRY_AFTER_MS,
             )
         return None
@@ -100,8 +100,8 @@
         if lost is not None:
             return outcomes.NotRun(
                 outcomes.Reason.VERSION_WITHDRAWN,
-                f"the session is pinned to {lost}, which may no longer serve "
-                "it; open a new session",
+                f"the session is settled on {lost}, which may not serve it "
+                "any more; open a new session",
             )
         deadline_ms = request.deadline_ms or task.deadline_ms
         deadline_ms = min(deadline_ms, self.settings.limits.max_deadline_ms)
@@ -111,7 +111,7 @@
         if not plan.steps:
             return outcomes.NotRun(
                 outcomes.Reason.VERSION_WITHDRAWN,
-                "no version can serve this session; open a new one",
+                "no version is left for this session; open a new one",
             )
         unstartable = session.find_unstartable_version(
             [step.version for step in plan.steps],
@@ -123,8 +123,8 @@
             planning.release(self.board, plan, [])
             return outcomes.NotRun(
                 outcomes.Reason.NOT_READY,
-                f"{unstartable} accepts no new work while this entry VM is "
-                "cut off; call another one",
+                f"{unstartable} takes no new work here while this entry VM "
+                "is cut off; call another one",
                 RETRY_AFTER_MS,
             )
         ends_ms = self.clock.now_ms() + deadline_ms
@@ -138,7 +138,7 @@
             self.board.running -= 1
         return outcomes.Unknown(
             outcomes.Reason.DEADLINE,
-            "the deadline passed while the request ran; it may be sent again",
+            "the deadline passed while it ran; it may be sent again",
         )
 
     async def _run_plan(
@@ -278,7 +278,7 @@
         return outcomes.Interrupted(
             outcomes.Reason.NOT_BILLABLE,
             str(answer.text),
-            "the answer was given, but its bill could not be stored durably; "
+            "the answer was given, but its bill could not be made safe; "
             "look up the request before you send it again",
         )
 
--- a/src/carawayward/gateway/lookups.py
+++ b/src/carawayward/gateway/lookups.py
@@ -122,7 +122,9 @@
             return max(answers, key=rank_answer)
         if holder is not None:
             return replies.describe(
-                once_outcomes.make_holder_unavailable("does not answer")
+                once_outcomes.make_holder_unavailable(
+                    "gives no answer just now"
+                )
             )
         return None
 
--- a/src/carawayward/gateway/middleware.py
+++ b/src/carawayward/gateway/middleware.py
@@ -18,7 +18,7 @@
 
 # Callers send little more than an API key and a session token or ticket.
 MAX_HEADER_BYTES = 16_384
-INTERNAL_ERROR_DETAIL = "internal error; the request may have run"
+INTERNAL_ERROR_DETAIL = "an unexpected fault here; it may have run"
 
 
 @attrs.define(eq=False)
--- a/src/carawayward/gateway/once.py
+++ b/src/carawayward/gateway/once.py
@@ -60,7 +60,7 @@
 
     outcome: outcomes.Outcome = outcomes.Unknown(
         outcomes.Reason.ENDPOINT_SILENT,
-        "the run was cut off; check whether it ran before you send it again",
+        "the run was cut off; look before you send it again",
     )
     done: trio.Event = attrs.field(factory=trio.Event)
 
@@ -172,7 +172,7 @@
         raise errors.BadRequest(
             "Carawayward-Ticket",
             "nothing",
-            "this operation is not repeatable: take a ticket first, or send "
+            "this call may not be repeated: take a ticket first, or send "
             "Idempotency-Key with Carawayward-Key-Made-At",
         )
 
@@ -312,7 +312,7 @@
                 return running.outcome
         return outcomes.Unknown(
             outcomes.Reason.IN_PROGRESS,
-            "the first run is still under way; ask again with the same key",
+            "the first run is still under way; ask again under the same key",
             RETRY_AFTER_MS,
         )
 
@@ -334,7 +334,7 @@
         except errors.PeerUnavailable:
             return once_outcomes.make_holder_unavailable("cannot be reached")
         if link.incarnation != incarnation:
-            return once_outcomes.make_holder_unavailable("has restarted")
+            return once_outcomes.make_holder_unavailable("is gone")
         body = {
             "customer": customer.name,
             "call": attrs.asdict(
@@ -347,7 +347,7 @@
         except errors.PeerUnavailable:
             answer = None
         if answer is None:
-            return once_outcomes.make_holder_unavailable("did not answer")
+            return once_outcomes.make_holder_unavailable("gave no answer")
         return replies.restore(answer)
 
     async def _handle_relayed_call(
--- a/src/carawayward/gateway/once_outcomes.py
+++ b/src/carawayward/gateway/once_outcomes.py
@@ -13,7 +13,7 @@
     return outcomes.Unknown(
         outcomes.Reason.TICKET_LOST,
         f"the entry VM that holds this request {detail}; ask again, and "
-        "check whether it ran before you send it again",
+        "look before you send it anew",
         RETRY_AFTER_MS,
     )
 
@@ -24,18 +24,14 @@
     It does not say "not run": the key may have been run earlier, by a node
     whose claim has since been dropped from the log.
     """
-    remedy = (
-        "the key is too old to be run; check whether it ran before you send "
-        "the request again"
-    )
+    remedy = "the key is too old to be run; look before you send it anew"
     retry_after_ms = None
     if verdict is claims.Verdict.FROM_FUTURE:
         remedy = "the key was made in the future; set the caller's clock"
     if verdict is claims.Verdict.NOT_COVERED:
         remedy = (
             "this entry VM has not read the claims of that time; ask "
-            "another, or check whether the key ran before you send the "
-            "request again"
+            "another, or look before you send it anew"
         )
         retry_after_ms = RETRY_AFTER_MS
     return outcomes.Unknown(
@@ -56,13 +52,13 @@
     if call.first_attempt:
         return outcomes.NotRun(
             outcomes.Reason.NO_CLAIM,
-            "the platform log did not decide the claim; retry with the same "
-            "key, or take a ticket, which needs no log",
+            "the platform log gave no claim; come back under the same key, "
+            "or take a ticket, which needs no log",
             claims_module.RETRY_AFTER_MS,
         )
     return outcomes.Unknown(
         outcomes.Reason.NO_CLAIM,
-        "the platform log did not decide the claim, and an earlier attempt "
-        "may have run; retry with the same key",
+        "the platform log gave no claim, and an earlier attempt may have "
+        "run; come back under the same key",
         claims_module.RETRY_AFTER_MS,
     )
--- a/src/carawayward/gateway/requests.py
+++ b/src/carawayward/gateway/requests.py
@@ -152,7 +152,7 @@
         raise errors.BadRequest(
             "Idempotency-Key",
             "nothing",
-            "send the key that Carawayward-Key-Made-At refers to",
+            "send the key that Carawayward-Key-Made-At speaks of",
         )
     return ServiceCall(
         request_key=read_request_key(request),
@@ -241,7 +241,7 @@
             raise errors.BadRequest(
                 f"messages[{index}]",
                 "a malformed message",
-                'send an object with the strings "role" and "content"',
+                'send an object with the texts "role" and "content"',
             )
     return messages
 
@@ -263,6 +263,6 @@
         raise errors.BadRequest(
             field,
             str(value)[:40],
-            f"send an integer from {minimum} to {maximum}",
+            f"send a whole number from {minimum} to {maximum}",
         )
     return value
--- a/src/carawayward/gateway/sessions.py
+++ b/src/carawayward/gateway/sessions.py
@@ -68,7 +68,7 @@
         if len(text) > MAX_TOKEN_CHARS:
             raise errors.InvalidToken(
                 f"the session token has {len(text)} characters; send the "
-                "one returned when the session was opened"
+                "one that the opening answer gave"
             )
         if "." not in text:
             return fill_unpinned(
