--- a/src/carawayward/protocol/tickets.py
+++ b/src/carawayward/protocol/tickets.py
@@ -118,23 +118,22 @@
         return Refuse(
             outcomes.Unknown(
                 outcomes.Reason.TICKET_LOST,
-                "the ticket expired long ago and its outcome is no longer "
-                "stored; check whether the call took effect before you take "
-                "a new ticket",
+                "the ticket ended long ago and what became of it is no "
+                "longer kept; look before you take a new one",
             )
         )
     if wall_ms > expires_ms:
         return Refuse(
             outcomes.NotRun(
                 outcomes.Reason.KEY_EXPIRED,
-                "the ticket expired unused; take a new one",
+                "the ticket ended unused; take a new one",
             )
         )
     if len(table.uses) >= rules.max_marks:
         return Refuse(
             outcomes.NotRun(
                 outcomes.Reason.OVERLOADED,
-                "too many requests that may not be repeated; retry later",
+                "too many requests that may not be repeated; come back",
                 5_000,
             )
         )
@@ -148,8 +147,8 @@
         return Refuse(
             outcomes.Unknown(
                 outcomes.Reason.TICKET_LOST,
-                "the call was run, but its answer is no longer stored; check "
-                "whether it took effect before you send it again",
+                "it was run, and its answer is no longer kept; look before "
+                "you send it anew",
             )
         )
     return Replay(use.outcome)
--- a/src/carawayward/protocol/tokens.py
+++ b/src/carawayward/protocol/tokens.py
@@ -68,8 +68,8 @@
             return self._serializer(kind).loads(token)
         except itsdangerous.BadData:
             raise errors.InvalidToken(
-                f"the {kind.lower()} token is forged or damaged; request a "
-                "new one"
+                f"the {kind.lower()} token is forged or damaged; open or "
+                "take a new one"
             ) from None
 
     def _serializer(self, kind: str) -> itsdangerous.URLSafeSerializer:
