--- a/src/carawayward/forwarding/assembly.py
+++ b/src/carawayward/forwarding/assembly.py
@@ -37,7 +37,7 @@
     clock: clock_module.Clock,
     ports: ports_module.Ports,
 ) -> PlacementParts:
-    """The placer, and the controllers that supply its data."""
+    """Create the placer and the controllers that supply its data."""
     fleet = fleet_module.Fleet(board, clock)
     reporter = load_reports.LoadReporter(
         board,
--- a/src/carawayward/forwarding/attempt_timeouts.py
+++ b/src/carawayward/forwarding/attempt_timeouts.py
@@ -39,10 +39,11 @@
 ) -> float:
     """How long to wait for the first token of a stream.
 
-    When the engines' backlog is so long that first tokens take as long as
-    this timeout, there is no timeout. Otherwise the prompts would be processed
-    again elsewhere, too late there as well, and the engines that were given up
-    would be ejected.
+    There is no timeout if it would be shorter than the route's target, or if
+    the time after it would not be enough for another engine, as when the
+    engines' backlog is long. Otherwise the prompts would be processed again
+    elsewhere, too late there as well, and the engines that were given up would
+    be ejected.
     """
     wait_ms = STREAM_HEAD_TIMEOUT_SHARE * left_ms
     needed_ms = max(route.target_ms, PREDICTION_MARGIN * predicted_ms)
@@ -54,6 +55,7 @@
 def get_silence_timeout_ms(route: table.Route) -> int | None:
     """How long a connection may be dead before the kernel ends it.
 
-    None for routes whose attempts time out sooner than that.
+    None for routes without streams: attempts on idempotent ones normally time
+    out sooner than that.
     """
     return SILENCE_TIMEOUT_MS if route.kind is table.RouteKind.STREAM else None
--- a/src/carawayward/forwarding/board.py
+++ b/src/carawayward/forwarding/board.py
@@ -46,8 +46,8 @@
     ``endpoints``. ``store_failing`` is set from a failed read of the table to
     the next successful one. ``cold_reports`` has an entry for each endpoint
     that may be cold. ``evacuated`` holds the failure domains whose endpoints
-    get no requests. ``refusing`` is set once a shutdown leaves no time for
-    new requests.
+    get no requests. ``refusing`` is set during a shutdown, once the load
+    balancer has had time to stop sending new requests.
     """
 
     name: str
--- a/src/carawayward/forwarding/cold_starts.py
+++ b/src/carawayward/forwarding/cold_starts.py
@@ -68,7 +68,10 @@
             cold_starts.release(self.permits, permit)
 
     def _list_cold(self) -> typing.Iterator[tuple[str, int]]:
-        """List the cold endpoints, each with this entry VM's permits."""
+        """List the cold endpoints, each with this entry VM's permits.
+
+        Removes the reports of endpoints that have become warm.
+        """
         now_ms = self.clock.boot_ms()
         for name, report in list(self.board.cold_reports.items()):
             max_permits = self._find_max_permits(name, report, now_ms)
--- a/src/carawayward/forwarding/daemon.py
+++ b/src/carawayward/forwarding/daemon.py
@@ -226,13 +226,16 @@
         await replies.send_response(reply, 200, METRICS_HEADERS, page)
 
     async def _drain(self) -> None:
-        """Wait for the load balancer, then for the open requests."""
+        """Wait for the load balancer, then for the open requests.
+
+        Ends in time to cut off streams before the process is killed.
+        """
         self.board.state = board_module.State.LEAVING
         events.log_event(
             events.Event.NODE_LEAVING, open=self.board.open_requests
         )
-        last_s = (self.settings.bounds.grace_ms - STREAM_CUTOFF_MS) / 1000
-        with trio.move_on_after(last_s):
+        drain_s = (self.settings.bounds.grace_ms - STREAM_CUTOFF_MS) / 1000
+        with trio.move_on_after(drain_s):
             await self.clock.sleep(BALANCER_REMOVAL_MS)
             self.board.refusing = True
             while self.board.open_requests:
--- a/src/carawayward/forwarding/exchange.py
+++ b/src/carawayward/forwarding/exchange.py
@@ -117,7 +117,7 @@
                     work, reply, outcome.cause, retry_after_ms
                 )
                 return
-            if not self._may_retry(work, outcome):
+            if not self._claim_retry(work, outcome):
                 await self._send_final_failure(work, reply, outcome.cause)
                 return
 
@@ -184,7 +184,10 @@
     def _make_sent_mark(
         self, work: work_items.Work, permit: cold_starts.Permit | None
     ) -> http.SentMark:
-        """Make a mark that records the permit as used on the first byte."""
+        """Make a mark that is asked right before the first byte is sent.
+
+        It checks ``may_send`` and records the permit as used.
+        """
 
         def may_send() -> bool:
             if not self.may_send(work):
@@ -294,9 +297,10 @@
             last_event=work.last_event,
         )
 
-    def _may_retry(
+    def _claim_retry(
         self, work: work_items.Work, outcome: work_items.Outcome
     ) -> bool:
+        """Whether to try another endpoint; a further run uses retry budget."""
         if isinstance(outcome, work_items.Unreached):
             return work.unreached_ms <= MAX_UNREACHED_MS
         if work.runs >= work.route.max_attempts:
--- a/src/carawayward/forwarding/feed.py
+++ b/src/carawayward/forwarding/feed.py
@@ -54,8 +54,9 @@
     a gap, ``apply`` each further record. ``mark_current`` receives the boot
     time up to which the reader is known to be up to date: when the call that
     showed it was sent. ``outages`` is shared by all feeds. ``record_failing``
-    is called after the first failed call and after the first one that succeeds
-    again. ``get_poll_wait`` returns how long the next poll may wait, in ms.
+    is called with True after the first failed call, and with False after the
+    first one that succeeds again. ``get_poll_wait`` returns how long the next
+    poll may wait, in ms.
     Nothing is read unless ``is_needed`` returns true.
 
     While ``has_delegate`` returns true, another entry VM reads the store on
@@ -63,7 +64,8 @@
     ``apply_changes`` the records that it read. The feed then calls the store
     only if the delegate cannot bring it up to date, if ``current_as_of_ms``,
     the time up to which the topic is known, is more than ``get_max_age`` ms
-    ago, or if no newer confirmation has arrived by ``due_ms``.
+    ago, or if no newer confirmation has arrived ``store_polls.OVERDUE_MS``
+    after ``due_ms``.
 
     ``push_updates`` is called when records have arrived. ``log`` keeps the
     changes that can be passed on to others. ``latest_known_position`` is the
@@ -130,7 +132,10 @@
         return None if self.failing or self._is_behind() else self.position
 
     def confirm(self, attested: attestation.Attestation) -> None:
-        """Accept an attestation of another entry VM, in this one's time."""
+        """Accept another entry VM's attestation.
+
+        Its times have been converted to this entry VM's boot clock.
+        """
         if attested.position != self.position:
             return
         latest_ms = self.clock.boot_ms() + self.get_poll_wait()
@@ -301,10 +306,10 @@
         if not self.failing:
             return await self._call(wait_ms)
         with self.outages.cancel_on_recovery():
-            # A poll confirms that nothing changed only when it ends. The first
-            # one after a failure does not wait for records; otherwise requests
-            # that depend on the confirmation would be refused for the length
-            # of a poll, 1.5 s.
+            # A call after a failure does not wait for records (``wait_ms`` is
+            # 0). A poll confirms that nothing changed only when it ends, so
+            # requests that depend on the confirmation would be refused for the
+            # length of a poll, 1.5 s.
             return await self._call(wait_ms)
         return None
 
--- a/src/carawayward/forwarding/feeds.py
+++ b/src/carawayward/forwarding/feeds.py
@@ -93,7 +93,8 @@
 
     def begin_era() -> None:
         reader.begin_era()
-        # The feed of the statuses is idle while no roll-out is running.
+        # The feed of the statuses is idle while no roll-out is running, and
+        # would not notice the new era.
         rounds.begin_era()
         freshness.reporter.registration.begin_era()
 
--- a/src/carawayward/forwarding/fleet.py
+++ b/src/carawayward/forwarding/fleet.py
@@ -48,7 +48,8 @@
     """The load and health of all endpoints in the registry.
 
     They are reset when an endpoint restarts: its earlier health and cache
-    contents say nothing about the new process.
+    contents say nothing about the new process. ``last_reached_ms`` is, by
+    failure domain, when an endpoint there last accepted a request.
     """
 
     board: board_module.ForwardingBoard
@@ -244,7 +245,7 @@
     def record_success(
         self, endpoint: TrackedEndpoint, unit_ms: float
     ) -> None:
-        """Record a complete response."""
+        """Record a complete response, which took ``unit_ms``."""
         if health_module.record_success(endpoint.view.health, unit_ms):
             events.log_event(
                 events.Event.ENDPOINT_BACK, endpoint=endpoint.entry.name
--- a/src/carawayward/forwarding/freshness.py
+++ b/src/carawayward/forwarding/freshness.py
@@ -9,7 +9,7 @@
 delegate that has lost the store goes on sending reports, and is recognized by
 that time.
 
-An attestation says that the log has no records after a position. A client at
+An attestation says that the log has no records from a position on. A client at
 that position is up to date. A client behind it receives the changes with the
 report, or in chunks if a record is longer than a datagram, or reads the store.
 """
@@ -69,10 +69,13 @@
         end: int,
         changed: typing.Sequence[change_log.Change],
     ) -> bool:
-        """Apply changes from ``start`` to ``end``; whether it did."""
+        """Apply changes from ``start`` to ``end``; return whether it did."""
 
     def confirm(self, attested: attestation.Attestation) -> None:
-        """Accept an attestation of another entry VM, in this one's time."""
+        """Accept another entry VM's attestation.
+
+        Its times have been converted to this entry VM's boot clock.
+        """
 
     def notify_position(self, position: int, served: bool) -> None:
         """Record that the topic extends to ``position``.
@@ -235,7 +238,7 @@
     def _send_report(
         self, peer: str, client: Client, names: typing.Iterable[str]
     ) -> None:
-        """Report on the topics; nothing on those that are uncertain."""
+        """Send a report on the topics that can be attested."""
         reports = {}
         for name in names:
             known = self.topics[name].get_attestation()
@@ -252,7 +255,10 @@
         name: str,
         known: attestation.Attestation,
     ) -> freshness_messages.TopicReport:
-        """Report on a topic; a change too long for it is sent in chunks."""
+        """Make the report on a topic; send a change too long for it in chunks.
+
+        Records the position up to which the client has been sent changes.
+        """
         position, now_ms = known.position, self.clock.boot_ms()
         make_report = functools.partial(
             freshness_messages.TopicReport,
@@ -285,6 +291,7 @@
         start: int,
         change: change_log.Change,
     ) -> bool:
+        """Send a change in chunks; return False if it needs too many."""
         chunks = freshness_messages.split_change(
             client.number, name, start, change
         )
@@ -386,5 +393,6 @@
         )
         change = change_log.Change(chunk.offset, chunk.key, value)
         if topic.apply_changes(chunk.start, chunk.offset + 1, (change,)):
-            # The report sent with the chunks is for the former position.
+            # The report sent with the chunks covers changes up to the former
+            # position only; request one for the new position.
             self._query(peer)
--- a/src/carawayward/forwarding/load_reports.py
+++ b/src/carawayward/forwarding/load_reports.py
@@ -274,7 +274,10 @@
     def _resolve_sender(
         self, sender: load_report_messages.Sender | int
     ) -> report_channels.Peer | None:
-        """The peer that sent a datagram; None before its introduction."""
+        """Return the peer that sent a report; None before its introduction.
+
+        A report that introduces its sender adds it to the directory.
+        """
         if isinstance(sender, int):
             return self.directory.get_by_number(sender)
         self._add_peer(sender)
@@ -399,8 +402,10 @@
             engine = names.get(part.engine)
             if engine is not None:
                 cached = [(part.key, part.tokens)]
-                memory = self.get_memory_tokens(engine)
-                engine_load.record_cached(self.loads, engine, cached, memory)
+                cache_tokens = self.get_memory_tokens(engine)
+                engine_load.record_cached(
+                    self.loads, engine, cached, cache_tokens
+                )
 
     def _get_engine_names(self) -> dict[int, str]:
         """The names of the listed endpoints, by their hashes."""
--- a/src/carawayward/forwarding/peer_directory.py
+++ b/src/carawayward/forwarding/peer_directory.py
@@ -26,7 +26,7 @@
     )
 
     def add(self, sender: load_report_messages.Sender, now_ms: float) -> bool:
-        """Add a peer or its new incarnation; whether it was unknown."""
+        """Add a peer or its new incarnation; return whether it was unknown."""
         known = self.peers.get(sender.name)
         if sender.name == self.own.name:
             return False
--- a/src/carawayward/forwarding/placing.py
+++ b/src/carawayward/forwarding/placing.py
@@ -18,8 +18,9 @@
 from carawayward.forwarding import rollouts as rollouts_module
 from carawayward.forwarding import work_items
 
-# Share of the retry budget that escalations to a larger model leave to
-# requests whose endpoint failed.
+# Share of the retry budget that is left to requests whose endpoint failed. The
+# first model is chosen in the expectation of an escalation to a larger one
+# only if more than this is unused.
 ESCALATION_RESERVE = 0.3
 
 
@@ -69,7 +70,10 @@
         )
 
     def _compute_overload(self, work: work_items.Work) -> escalation.Overload:
-        """Compute the overload that speaks against using the largest model."""
+        """Compute the load that is a reason against using the largest model.
+
+        Also records the engines' mean backlog in ``work`` for the log.
+        """
         prompt = work_items.make_prompt(work, work.route.models[-1])
         if prompt is None:
             return escalation.Overload()
--- a/src/carawayward/forwarding/positions.py
+++ b/src/carawayward/forwarding/positions.py
@@ -2,7 +2,7 @@
 
 A store that is restored from a backup begins a new era and gives out offsets
 again. If positions were plain offsets, an entry VM at offset 50 of the former
-history would take "no records after offset 50" in the new history as
+history would take "no records from offset 50 on" in the new history as
 confirmation that it is up to date.
 
 A position therefore combines the era and the offset in one integer, with the
--- a/src/carawayward/forwarding/readiness.py
+++ b/src/carawayward/forwarding/readiness.py
@@ -29,9 +29,11 @@
     def should_redirect_callers(self) -> bool:
         """Whether callers should move to another entry VM.
 
-        This is so from the first failed read of the table on, not only once
-        its keys have expired: a balancer takes two seconds to move callers,
-        and the keys stay valid for about as long.
+        They should when this entry VM shuts down, and when its table may be
+        out of date and other entry VMs may serve. The latter starts with the
+        first failed read of the table, not only once its keys have expired: a
+        balancer takes two seconds to move callers, and the keys stay valid for
+        about as long.
         """
         if self.board.state is board_module.State.LEAVING:
             return True
--- a/src/carawayward/forwarding/registry.py
+++ b/src/carawayward/forwarding/registry.py
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class HeldRecord:
-    """A record of an endpoint that had left, held back to ``until_ms``."""
+    """A record of an endpoint that had left, held back until ``until_ms``."""
 
     record: keyed_log.Record
     until_ms: float
@@ -139,7 +139,11 @@
         entry: message_types.EndpointEntry,
         known: message_types.EndpointEntry | None,
     ) -> None:
-        """Record how long an endpoint is cold; it may be if unspecified."""
+        """Record how long an endpoint stays cold.
+
+        If the entry does not say, a new process may be cold, and the report
+        on a process that is already known is kept.
+        """
         if entry.cold_ms is None and known is not None:
             if (known.address, known.born) == (entry.address, entry.born):
                 return
@@ -151,7 +155,11 @@
         )
 
     def mark_current(self, as_of_ms: float) -> None:
-        """Record that all records have been read; drop endpoints that left."""
+        """Record that all records have been read.
+
+        Applies the held records that are due, and drops the missing entries
+        once their grace period is over.
+        """
         now_ms = self.outages.clock.boot_ms()
         for each in list(self.held_records.values()):
             if now_ms >= each.until_ms:
@@ -163,7 +171,7 @@
         self.last_read_ms = now_ms
 
     def compute_renewal_wait_ms(self) -> float:
-        """Return the time left for entries that expired in an outage."""
+        """Return the time left to renew entries that expired in an outage."""
         return self.renewed_by_ms - self.outages.clock.boot_ms()
 
     def _may_have_expired(self) -> bool:
@@ -179,8 +187,9 @@
         """Evaluate the missing entries after an outage of the store.
 
         ``last_read_ms`` is when the store was last read before it. This is
-        done only at the time of recovery: when entries expire one by one
-        after it, most of the others are still unchanged for the first ones.
+        done only at the time of recovery. Entries that expire one by one
+        after it must not be evaluated like this: when the first ones expire,
+        most of the others are still unchanged, as if they had been renewed.
         """
         self.renewed_by_ms = now_ms + RENEWAL_GRACE_MS
         unchanged = sum(
@@ -234,6 +243,7 @@
             self.first_reads[record.key] = FirstRead(record.offset, now_ms)
 
     def _handle_missing(self, name: str) -> None:
+        """Drop an entry, or keep it if it may have expired in an outage."""
         renewal_wait_ms = self.compute_renewal_wait_ms()
         if renewal_wait_ms <= 0.0 and not self._may_have_expired():
             self._drop(name, "entry removed")
--- a/src/carawayward/forwarding/report_channels.py
+++ b/src/carawayward/forwarding/report_channels.py
@@ -19,7 +19,8 @@
 INTRODUCTION_INTERVAL_MS = 1_000.0
 # This many prompt parts fit into an Ethernet frame together with the engines.
 MAX_PARTS = 40
-# With more peers than this each datagram goes to the next so many of them.
+# Number of peers that a datagram goes to. If there are more, the datagrams go
+# to them in rotation.
 MAX_PEERS_PER_DATAGRAM = 16
 
 # With many peers each is sent reports only in rotation. A report is therefore
@@ -67,9 +68,10 @@
 class Channel:
     """Pending reports to the peers of this failure domain, or to all others.
 
-    ``local`` selects the former. ``rotation`` is the index of the peer at
-    which the next datagram starts. On the local channel each prompt part is
-    reported twice, so that a single lost datagram loses none.
+    ``local`` selects the former. ``rotation``, modulo the number of peers, is
+    the index of the first peer that the last datagram went to. On the local
+    channel each prompt part is reported twice, so that a single lost datagram
+    loses none.
     """
 
     local: bool
--- a/src/carawayward/forwarding/rollout_rounds.py
+++ b/src/carawayward/forwarding/rollout_rounds.py
@@ -21,7 +21,7 @@
 from carawayward.forwarding import rollouts as rollouts_module
 from carawayward import supervision
 
-# After the store was restored from a copy, entry VMs that know no decision
+# After the store was restored from a backup, entry VMs that know no decision
 # write none for this long: those that know a lost one write it again first.
 RESTORE_DELAY_MS = 2_000.0
 # How often new orders are looked for and the running roll-outs are processed.
@@ -51,7 +51,7 @@
     has read, None while it knows of unread records. ``list_members`` returns
     the names of all entry VMs. ``latest`` holds the latest status of each
     service, known to be current at ``as_of_ms`` on the boot clock.
-    ``restoring`` is set while the store, restored from a copy at
+    ``restoring`` is set while the store, restored from a backup at
     ``era_began_ms``, may lack decisions.
     """
 
@@ -88,7 +88,7 @@
         )
 
     def begin_era(self) -> None:
-        """The store was restored from a copy, and may lack statuses."""
+        """Handle a restore from a backup, which may lack statuses."""
         self.restoring = bool(self.rollouts.rollouts)
         self.era_began_ms = self.clock.boot_ms()
 
@@ -114,7 +114,7 @@
             self._apply_status(status)
 
     def mark_current(self, as_of_ms: float) -> None:
-        """The statuses were current at ``as_of_ms`` on the boot clock."""
+        """Record that the statuses were current at ``as_of_ms``."""
         self.as_of_ms = max(self.as_of_ms, as_of_ms)
         for rollout in self.rollouts.rollouts.values():
             self._update_freshness(rollout)
--- a/src/carawayward/forwarding/rollout_state.py
+++ b/src/carawayward/forwarding/rollout_state.py
@@ -145,7 +145,10 @@
         return sum(self.sum_tallies().values(), canary.Tally())
 
     def sum_since_full_traffic(self) -> canary.Tally:
-        """The counts, with only new-version answers since full traffic."""
+        """The known counts, with the new version's since full traffic only.
+
+        The old version's counts include those before the switch.
+        """
         total = self.sum_all_routes()
         return attrs.evolve(
             total,
--- a/src/carawayward/forwarding/settings.py
+++ b/src/carawayward/forwarding/settings.py
@@ -37,7 +37,8 @@
     leaving endpoint still accepts work. A new configuration has to be in force
     within ``apply_ms``, an evacuation within ``evacuate_ms``. In one second, a
     cold endpoint gets at most ``cold_overshoot`` times what it can bear, plus
-    ``cold_slack`` requests. With ``keys_fail_closed`` unset, keys never lapse.
+    ``cold_slack`` requests. If ``keys_fail_closed`` is false, keys are
+    accepted however old the table is.
     """
 
     key_lease_ms: int = 5_000
--- a/src/carawayward/forwarding/table.py
+++ b/src/carawayward/forwarding/table.py
@@ -95,8 +95,9 @@
 class Service:
     """A pool of endpoints that serve the same routes.
 
-    An endpoint is cold for ``cold_start_ms`` after its start, and then handles
-    only ``cold_per_s`` requests per second; None if that is not specified.
+    An endpoint is cold for ``cold_start_ms`` after its start. While cold it
+    handles only ``cold_per_s`` requests per second; if that is None, endpoints
+    are not treated as cold.
     """
 
     name: str
--- a/src/carawayward/forwarding/work_items.py
+++ b/src/carawayward/forwarding/work_items.py
@@ -44,7 +44,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unsure:
-    """The model's confidence is low; ``model`` is the one to ask next."""
+    """The model's confidence is low.
+
+    ``model`` is the index of the one to ask next in the route's ``models``.
+    """
 
     cause: str
     model: int
@@ -116,9 +119,11 @@
 class Work:
     """The state of one request while it is served; times in ms.
 
-    ``mark`` is that of the current attempt; ``earlier_may_have_run`` says
-    whether an earlier attempt may have run. Endpoints in ``failed_endpoints``
-    are tried again only if there is no other, those in ``unusable`` never.
+    ``model`` is an index into the route's ``models``, None if the router does
+    not choose. ``mark`` is that of the current attempt, None if that is
+    certain not to have run; ``earlier_may_have_run`` says whether an earlier
+    attempt may have run. Endpoints in ``failed_endpoints`` are tried again
+    only if there is no other, those in ``unusable`` never.
     ``backlog`` is what the chosen engine reads until the first token, in
     weighted tokens, and ``is_queued`` whether that includes other prompts.
     ``backlog_ms`` is the mean backlog of the engines, for the log.
--- a/src/carawayward/platform/entry.py
+++ b/src/carawayward/platform/entry.py
@@ -1,4 +1,4 @@
-"""Entry point of an entry VM on the users' platform."""
+"""Starts the process of an entry VM on the deployment's platform."""
 
 import os
 import sys
--- a/src/carawayward/platform/store.py
+++ b/src/carawayward/platform/store.py
@@ -25,7 +25,7 @@
 # Long polls are idle for seconds. This bounds, in ms, how long a connection
 # whose other side no longer responds can block one.
 UNRESPONSIVE_TIMEOUT_MS = 3_000
-# Incremented each time the store is restored from a copy of its data.
+# Incremented each time the store is restored from a backup.
 ERA_HEADER = b"store-era"
 ERA_PATTERN = re.compile(rb"[0-9]{1,9}")
 
@@ -59,7 +59,7 @@
         body: bytes = b"",
         wait_ms: float = 0.0,
     ) -> Answer:
-        """Make one call; raise PlatformUnavailable if it gets no answer."""
+        """Make one call; raise PlatformUnavailable without a usable answer."""
         mark = http.SentMark()
         try:
             with trio.fail_after((CALL_TIMEOUT_MS + wait_ms) / 1000):
@@ -70,7 +70,8 @@
                     extensions={"trace": mark.trace},
                 )
         except http.CALL_FAILURES as cause:
-            # A connection on which an answer was lost brings no other.
+            # When one connection has lost an answer, the idle ones are likely
+            # dead too, and each would cost a call its timeout.
             await http.drop_idle(self.pool)
             raise errors.PlatformUnavailable(
                 "store", f"no answer ({type(cause).__name__})", mark.sent
@@ -86,8 +87,8 @@
     def _record_era(self, era: int) -> None:
         """Record the era of an answer; raise PlatformUnavailable if it is old.
 
-        An answer of an earlier era comes from a lagging part of the store:
-        its data have been lost.
+        An answer of an earlier era comes from a part of the store that lags
+        behind the restore; the data of that era have been lost.
         """
         if era < self.era:
             raise errors.PlatformUnavailable(
@@ -129,7 +130,7 @@
             if end is None:
                 end = positions.make_position(answer.era, int(body["end"]))
             elif positions.get_era(end) != answer.era:
-                # The previous pages are of another era.
+                # The previous pages are of another era: start again.
                 return await self.read_newest()
             records += [
                 decode_item(item, answer.era) for item in body["items"]
