--- a/src/carawayward/forwarding/board.py
+++ b/src/carawayward/forwarding/board.py
@@ -47,7 +47,7 @@
     the next successful one. ``cold_reports`` has an entry for each endpoint
     that may be cold. ``evacuated`` holds the failure domains whose endpoints
     get no requests. ``refusing`` is set during a shutdown, once the load
-    balancer has had time to stop sending new requests.
+    balancer has had time to stop sending new connections.
     """
 
     name: str
--- a/src/carawayward/forwarding/declarations.py
+++ b/src/carawayward/forwarding/declarations.py
@@ -87,7 +87,7 @@
             return
         self.board.evacuated.discard(failure_domain)
         self.board.generation += 1
-        # Endpoints that were idle meanwhile may have become cold.
+        # Endpoints were idle during the evacuation and may have become cold.
         report = board_module.ColdReport(self.clock.boot_ms(), None)
         for name, entry in self.board.endpoints.items():
             if entry.failure_domain == failure_domain:
--- a/src/carawayward/forwarding/exchange.py
+++ b/src/carawayward/forwarding/exchange.py
@@ -137,7 +137,7 @@
         return self.placer.predict_ttft(work) > left_ms
 
     def _estimate_retry_after_ms(self, work: work_items.Work) -> float:
-        """Estimate when the backlog is short enough to meet the target."""
+        """Estimate the time until the backlog is within the target."""
         behind_ms = self.placer.predict_ttft(work) - work.route.target_ms
         return max(DEFAULT_RETRY_AFTER_MS, behind_ms)
 
--- a/src/carawayward/forwarding/feed.py
+++ b/src/carawayward/forwarding/feed.py
@@ -243,7 +243,10 @@
             await self.clock.sleep(remaining_ms)
 
     async def _wait_for_cause(self) -> Cause:
-        """Wait while a delegate reads; return why this feed has to call."""
+        """Wait while a delegate reads; return why this feed has to call.
+
+        Returns ``POLL`` without waiting if the feed goes on reading by itself.
+        """
         if self.position is None:
             return Cause.START
         if self._relist_cause is not None:
--- a/src/carawayward/forwarding/load_reports.py
+++ b/src/carawayward/forwarding/load_reports.py
@@ -33,7 +33,7 @@
 # a report, and how often while none is, as a heartbeat.
 REPORT_INTERVAL_MS = 400.0
 HEARTBEAT_MS = 1_500.0
-# The least time for which a peer's report about itself is valid.
+# Minimum time for which a peer's ``stale`` flag and topics are valid.
 PEER_TIMEOUT_MS = 2 * HEARTBEAT_MS
 # This many engines fit into an Ethernet frame together with the prompt parts.
 MAX_ENGINES_PER_REPORT = 30
--- a/src/carawayward/forwarding/report_channels.py
+++ b/src/carawayward/forwarding/report_channels.py
@@ -19,8 +19,8 @@
 INTRODUCTION_INTERVAL_MS = 1_000.0
 # This many prompt parts fit into an Ethernet frame together with the engines.
 MAX_PARTS = 40
-# Number of peers that a datagram goes to. If there are more, the datagrams go
-# to them in rotation.
+# Maximum number of peers that a datagram goes to. If there are more, the
+# datagrams go to them in rotation.
 MAX_PEERS_PER_DATAGRAM = 16
 
 # With many peers each is sent reports only in rotation. A report is therefore
--- a/src/carawayward/forwarding/rollouts.py
+++ b/src/carawayward/forwarding/rollouts.py
@@ -65,6 +65,11 @@
     def _chooses_new(
         self, rollout: rollout_state.Rollout, session: str, request_id: str
     ) -> bool:
+        """Whether a request goes to the new version.
+
+        A session keeps its version while the new version has any share, except
+        that one on the old version may move after the trial's minimum time.
+        """
         now_ms = self.clock.now_ms()
         share = self.compute_share(rollout, now_ms)
         if not share:
--- a/src/carawayward/forwarding/settings.py
+++ b/src/carawayward/forwarding/settings.py
@@ -36,8 +36,8 @@
     to stop and the forced end of the process; ``drain_ms`` is how long a
     leaving endpoint still accepts work. A new configuration has to be in force
     within ``apply_ms``, an evacuation within ``evacuate_ms``. In one second, a
-    cold endpoint gets at most ``cold_overshoot`` times what it can bear, plus
-    ``cold_slack`` requests. If ``keys_fail_closed`` is false, keys are
+    cold endpoint gets at most ``cold_overshoot`` times what it can handle,
+    plus ``cold_slack`` requests. If ``keys_fail_closed`` is false, keys are
     accepted however old the table is.
     """
 
