--- a/src/carawayward/decisions/admission.py
+++ b/src/carawayward/decisions/admission.py
@@ -173,14 +173,17 @@
     queue_limit: int,
     retries: RetrySchedule,
 ) -> Refusal | None:
-    """Refuse a request that cannot be served in time, or return ``None``.
+    """Refuse a request that is over its queue limit or would start too late.
+
+    Returns ``None`` if the request is admitted. A customer with no waiting
+    requests is admitted even if its predicted wait is too long.
 
     Without this, demand of two to five times the capacity makes queues grow
     until everything in them is late, and callers wait only to be refused. The
-    retry time is when the customer's own backlog will have drained at its
-    share of the capacity. Each further refusal of the same customer is given a
-    retry time one turn later; otherwise all of them would retry at the same
-    moment and be refused again.
+    retry time is when enough of the customer's own backlog will have drained
+    at its share of the capacity. Each further refusal of the same customer is
+    given a retry time one turn later; otherwise all of them would retry at the
+    same moment and be refused again.
     """
     if item.latest_start_ms < now_ms:
         return Refusal(Cause.HOPELESS, None)
--- a/src/carawayward/decisions/canary.py
+++ b/src/carawayward/decisions/canary.py
@@ -21,8 +21,8 @@
 MAX_SHARE = 0.4
 # Part of the exposure budget that the trial may use.
 TRIAL_EXPOSURE = 0.4
-# Part of the roll-out's duration that the trial lasts at least; a fault that
-# appears late has shown by then.
+# Minimum duration of the trial, as a part of the roll-out's duration; a fault
+# that appears late has shown by then.
 TRIAL_PART = 0.5
 # Part of the exposure budget that is used. Entry VMs' counts are slightly old,
 # and those that learn of a halt late send a few more requests.
@@ -32,20 +32,20 @@
 # VMs write in turn.
 FORCED_COMPLETION_MS = 1_000.0
 # Once all traffic goes to the new version, completion waits for this many of
-# its answers as long as this much time is left. Faults that appear only under
-# full load or late show here, and once the old version's endpoints have
+# its answers while more than this much time is left. Faults that appear only
+# under full load or late show here, and once the old version's endpoints have
 # stopped there is no way back.
 COMPLETION_ANSWERS = 40
 COMPLETION_WAIT_MS = 1_800.0
-# With fewer answers the roll-out is not completed at all: if the old version
-# is kept the roll-out can be ordered again, whereas a bad version without an
-# old one to return to stays.
+# With fewer answers the roll-out is not completed at all. It can then be
+# ordered again, whereas after completion there is no old version to return to
+# if the new one is bad.
 MIN_COMPLETION_ANSWERS = 5
-# A version is completed when its answers are this many times likelier from a
+# A version is likely good when its answers are this many times likelier from a
 # version with the old version's failure rate than from a bad one, whose
-# failure rate is BAD_RATE_INCREASE higher. This is required on each route that
-# has at least ROUTE_PART of the answers, since a version may be bad on one
-# route only.
+# failure rate is BAD_RATE_INCREASE higher, but at most MAX_RATE. ``is_proven``
+# requires this on each route that has at least ROUTE_PART of the answers,
+# since a version may be bad on one route only.
 LIKELIHOOD_RATIO = 4.0
 BAD_RATE_INCREASE = 0.4
 MAX_RATE = 0.95
@@ -53,7 +53,8 @@
 # Allowance for more requests than expected, in standard deviations of a
 # Poisson count.
 SURGE_DEVIATIONS = 2.5
-# Fewer answers, or fewer bad ones, give no verdict.
+# With fewer answers a version is not judged good, and with fewer bad answers
+# it is not judged bad.
 MIN_ANSWERS = 8
 MIN_BAD_ANSWERS = 3
 # How far above the old version's rate of bad answers the new one's must be,
--- a/src/carawayward/decisions/cascade.py
+++ b/src/carawayward/decisions/cascade.py
@@ -53,8 +53,8 @@
     """Ratings of the cheap and the strong version of one cascade.
 
     ``bands`` holds the cheap version's ratings by its own confidence, whether
-    or not its answer was used. ``strong_count`` holds the ratings of requests
-    that the check escalated, or of all requests if none were.
+    or not its answer was used. ``strong_count`` holds the strong version's
+    ratings for requests that the check escalated.
     """
 
     cheap: declaration.Version
@@ -130,9 +130,9 @@
     """Cost and quality when answers from ``first_band`` upwards are accepted.
 
     The ratings of both versions are combined in the proportion in which
-    requests reach them, limited by the version with too few ratings. The bound
-    then holds for the mixture, so a well-rated cheap version cannot make up
-    for an unrated strong one.
+    requests reach them. The sample size of the bound is that of the version
+    with the fewest ratings for its part, so the bound holds for the mixture: a
+    well-rated cheap version cannot make up for an unrated strong one.
     """
     none = evidence_module.Count()
     accepted = sum(parts.bands[first_band:], none)
@@ -184,12 +184,12 @@
 def choose_plan(
     declared: list[Step], parts: CascadeRatings | None, target: float
 ) -> list[Step]:
-    """The cheapest plan that ratings prove, or else the declared one.
+    """The cheapest plan proven to meet the target, or the declared one.
 
     ``parts`` is ``None`` while ratings are missing. If the ratings prove that
-    the declared plan misses the target and prove no other plan, the strongest
-    version answers: quality takes precedence over cost while this is
-    uncertain.
+    the declared plan misses the target, and no plan is proven to meet it, the
+    strong version answers alone: quality takes precedence over cost while this
+    is uncertain.
     """
     if parts is None or len(declared) < 2:
         return declared
--- a/src/carawayward/decisions/engine_load.py
+++ b/src/carawayward/decisions/engine_load.py
@@ -19,9 +19,9 @@
 # Cost of a running stream, in weighted tokens. It is small compared with
 # prompts: each stream lengthens a batch step by a fortieth.
 STREAM_WEIGHT = 150.0
-# Work goes to another failure domain if that saves more than this part of its
-# latency target. A smaller gain goes unnoticed, and traffic between failure
-# domains costs money.
+# A prompt goes to another failure domain if that saves more than this part of
+# its latency target. A smaller gain goes unnoticed, and traffic between
+# failure domains costs money.
 REMOTE_PART = 0.05
 # Older reports are dropped: the load has changed or the peer has failed.
 PEER_REPORT_TTL_MS = 1_500.0
@@ -91,8 +91,9 @@
         return sum(tokens for _, tokens in self.parts)
 
 
-# Time to first token on an idle engine, and per weighted token, in ms, until
-# learned. Engines differ, so these only have to be near.
+# Initial estimates of the time to first token on an idle engine and of the
+# time per weighted token, in ms. Engines differ, so these only have to be
+# roughly right until the actual times are learned.
 INITIAL_BASE_MS = 120.0
 INITIAL_TOKEN_MS = 0.06
 # The base tracks this quantile of the observations, so that most prompts are
--- a/src/carawayward/decisions/escalation.py
+++ b/src/carawayward/decisions/escalation.py
@@ -62,7 +62,7 @@
     """The reasons against giving the largest model more work.
 
     ``backlog_part`` is the engines' mean backlog as a part of the shortest
-    latency target that they serve; ``head_part`` is the larger model's time to
+    latency target that they serve; ``ttft_part`` is the larger model's time to
     first token as a part of the route's target.
     """
     behind = (backlog_part - LOW_BACKLOG) / (HIGH_BACKLOG - LOW_BACKLOG)
--- a/src/carawayward/decisions/health.py
+++ b/src/carawayward/decisions/health.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: which endpoints to skip for a while, with a floor.
+"""Outlier ejection: which endpoints of a pool to skip for a while.
 
 Covers one endpoint of a pool that fails fast, hangs or runs slowly while the
 others are healthy. An endpoint that fails fast is always idle, so every policy
@@ -31,8 +31,9 @@
 # After this many samples in good health, earlier ejections are forgotten.
 RESET_SAMPLES = 100
 EWMA_GAIN = 0.2
-# One answer that took several times the mean moves the mean half way to it;
-# the floor and the short first ejection keep a wrong ejection cheap.
+# One answer that took several times the mean moves the mean half way to it.
+# MAX_EJECTED_PART, and a first ejection that is shorter than the later ones,
+# keep a wrong ejection cheap.
 SLOW_SAMPLE_GAIN = 0.5
 
 
@@ -105,7 +106,10 @@
 
 
 def compute_pool_unit_ms(pool: typing.Iterable[Health]) -> float | None:
-    """The median time per unit of work over a pool's endpoints."""
+    """The median time per unit of work over a pool's endpoints.
+
+    Returns ``None`` if it is known of fewer than three endpoints.
+    """
     known = [h.unit_ms for h in pool if h.unit_ms is not None]
     return statistics.median(known) if len(known) > 2 else None
 
@@ -113,10 +117,10 @@
 def eject_if_outlier(
     health: Health, pool: typing.Sequence[Health], now_ms: float
 ) -> bool:
-    """Eject the endpoint if it is an outlier and the floor allows it.
+    """Eject an outlier unless too much of its pool would be ejected.
 
-    A failed probe ejects it again for twice as long, so an endpoint that keeps
-    failing costs one request a minute.
+    Returns whether it was ejected. A failed probe ejects it again for twice as
+    long, so an endpoint that keeps failing costs one request a minute.
     """
     if health.state is State.PROBING and health.failures:
         _eject(health, now_ms)
--- a/src/carawayward/decisions/lapses.py
+++ b/src/carawayward/decisions/lapses.py
@@ -13,7 +13,8 @@
 
 # Entries expire after three heartbeats without renewal, and the last renewal
 # is at most one heartbeat before the outage, so none has expired after an
-# outage of two. Reduced by a quarter, since endpoints are not punctual.
+# outage of two. Reduced by a quarter of a heartbeat, since endpoints are not
+# punctual.
 SAFE_HEARTBEATS = 1.75
 # No entry outlives three heartbeats without renewal; one more allows for a
 # store that removes it late.
--- a/src/carawayward/decisions/limits.py
+++ b/src/carawayward/decisions/limits.py
@@ -49,7 +49,11 @@
 
 @attrs.define
 class Limit:
-    """The learned limit of one endpoint, as seen by one entry VM."""
+    """The learned limit of one endpoint, as seen by one entry VM.
+
+    ``starting`` is set while the limit still doubles. ``part`` is the factor
+    on the tolerance that ``record_load_part`` computes.
+    """
 
     value: float = MIN_LIMIT
     base_ms: float | None = None
--- a/src/carawayward/decisions/orders.py
+++ b/src/carawayward/decisions/orders.py
@@ -61,6 +61,7 @@
 ) -> tuple[list[str], list[str]]:
     """Endpoints that may change now, and silent ones that block a change.
 
+    ``loads_left`` is the number of loads that the weight store still allows.
     A silent endpoint serves nothing either, so it counts as changing: a change
     must not continue through a pool that is failing. Outdated endpoints are
     taken in a fixed order, so those that are changing stay in the set until
--- a/src/carawayward/decisions/placement.py
+++ b/src/carawayward/decisions/placement.py
@@ -156,11 +156,11 @@
 ) -> EndpointView | None:
     """Choose an endpoint with room, or return ``None``.
 
-    The endpoints of the request's prefix on the ring come first, within the
-    load bound: computing the prefix again elsewhere costs more than the path
-    to another failure domain. Otherwise the better of two local endpoints is
-    chosen, or the better of two from other domains if the local ones are much
-    busier.
+    An ejected endpoint that is due for a probe comes first, then the endpoints
+    of the request's prefix on the ring, within the load bound: computing the
+    prefix again elsewhere costs more than the path to another failure domain.
+    Otherwise the better of two local endpoints is chosen, or the better of two
+    from other domains if the local ones are much busier.
     """
     if not candidates.views:
         return None
@@ -178,11 +178,12 @@
 def find_affine_endpoint(
     candidates: Candidates, key: int, now_ms: float, excluded: frozenset[str]
 ) -> EndpointView | None:
-    """The first endpoint on the ring that is available under the load bound.
+    """The first endpoint on the ring that can take a prefix's request.
 
-    Under skewed demand one prefix is requested far more often than the rest.
-    Spreading its requests over all endpoints loses cache hits; sending all of
-    them to one endpoint overloads it.
+    It must be available, not degraded and under the load bound. Under skewed
+    demand one prefix is requested far more often than the rest. Spreading its
+    requests over all endpoints loses cache hits; sending all of them to one
+    endpoint overloads it.
     """
     max_load = LOAD_BOUND * (candidates.mean + 1.0)
     for view in walk_ring(candidates, key, RING_WALK):
--- a/src/carawayward/decisions/rollout.py
+++ b/src/carawayward/decisions/rollout.py
@@ -47,7 +47,7 @@
 
 @attrs.frozen(kw_only=True)
 class Progress:
-    """State of one roll-out.
+    """State of one roll-out; ``stage`` is -1 until it begins.
 
     ``base`` is the offset of the record that led to this state, ``begun_ms``
     the log time of the record that began this generation, ``since_ms`` that of
@@ -76,7 +76,11 @@
 
 @attrs.frozen(kw_only=True)
 class RolloutLog:
-    """State of the fold; ``known`` as in the configuration's fold."""
+    """State of the fold over the records up to ``read_to``.
+
+    ``known`` is false for a reader that began after the oldest record, until
+    it has read a snapshot. Until then, records are kept in ``pending``.
+    """
 
     known: bool
     read_to: int = 0
--- a/src/carawayward/decisions/session.py
+++ b/src/carawayward/decisions/session.py
@@ -15,7 +15,7 @@
     """The pinned version that may no longer serve the session, if any.
 
     Versions are withdrawn during long sessions. Continuing with the rest of
-    the cascade would move a narrative to another version half way, so one
+    the cascade would move a narrative to another version midway, so one
     unavailable version of the task's cascade ends the session for that task. A
     version's declaration may say that it stops on a node that is cut off.
     """
@@ -42,14 +42,14 @@
     """The first version of a plan that may not start work here now.
 
     Versions that the session is pinned to have been checked by
-    ``find_unavailable_pin``. Checked for each request on a node that is cut
-    off: the version's operators declared that there no answer is better than
-    one from this version.
+    ``find_unavailable_pin``. The others are checked for each request: on a
+    node that is cut off, operators may have declared that no answer is better
+    than one from this version.
     """
-    settled = set(pins.values())
+    pinned_versions = set(pins.values())
     for name in wanted:
         version = versions.get(name)
-        if version is None or name in settled:
+        if version is None or name in pinned_versions:
             continue
         if not freshness.may_start(version, fresh):
             return name
--- a/src/carawayward/decisions/store_polls.py
+++ b/src/carawayward/decisions/store_polls.py
@@ -22,9 +22,10 @@
 DRAIN_PART = 0.55
 # Minimum poll on the endpoints, however often they renew their entries.
 MIN_REGISTRY_POLL_MS = 500.0
-# Longest poll on the table, as a part of the time within which a configuration
-# has to be in force. A client whose delegate lost the store just before a
-# change finds the report too old one poll and half a second after the change.
+# Longest poll on the routing table, as a part of the time within which a
+# configuration has to be in force. A client whose delegate lost the store just
+# before a change finds the report too old one poll and half a second after the
+# change.
 APPLY_PART = 0.5
 # Interval at which a delegate is queried. Changes are pushed at once; queries
 # show that nothing changed, and deliver changes whose datagrams were lost.
--- a/src/carawayward/decisions/suspicion.py
+++ b/src/carawayward/decisions/suspicion.py
@@ -176,7 +176,7 @@
         if 0 < len(crashes) < CONVICTING_CRASHES:
             suspects.append((crashes[0].seen_ms, fingerprint, crashes[0]))
     suspects.sort(key=lambda suspect: suspect[:2])
-    busy: dict[str, int] = {}
+    planned_counts: dict[str, int] = {}
     plan = {}
     for seen_ms, fingerprint, crash in suspects:
         names = list(walk(fingerprint))
@@ -184,8 +184,8 @@
         endpoint = next(iter(others or names), None)
         if endpoint is None:
             continue
-        rank = busy.get(endpoint, 0)
-        busy[endpoint] = rank + 1
+        rank = planned_counts.get(endpoint, 0)
+        planned_counts[endpoint] = rank + 1
         # If there is no other endpoint, the crashed one is tried after it is
         # back, late enough to tell a second crash from the first.
         settle_ms = SETTLE_MS if others else SAME_CRASH_MS
--- a/src/carawayward/gateway/handover.py
+++ b/src/carawayward/gateway/handover.py
@@ -1,6 +1,6 @@
 """Hand-over of a leaving node's rights to run requests to one peer, its heir.
 
-A node hands over once. It records the heir in its book (see
+A node hands over once. It records the heir in its rights table (see
 ``protocol.tickets``) before it sends anything, and from then on only relays
 calls to the heir. If the hand-over is lost, nobody holds the rights and
 callers get "unknown"; two nodes never hold them. The marks of used rights
@@ -34,7 +34,7 @@
 def listen(
     hub: hub_module.PeerHub,
     board: blackboard_module.Blackboard,
-    book: tickets.RightsTable,
+    rights: tickets.RightsTable,
 ) -> None:
     """Register handlers that adopt the rights of leaving peers."""
 
@@ -43,15 +43,15 @@
             issuers=frozenset(),
             uses={right: decode_use(row) for right, *row in body["marks"]},
         )
-        return tickets.adopt(book, handed_over)
+        return tickets.adopt(rights, handed_over)
 
     async def adopt_issuers(peer: str, body: typing.Any) -> bool:
         left = {(str(n), str(i)): int(ms) for n, i, ms in body["issuers"]}
         handed_over = tickets.HandOver(issuers=frozenset(left), uses={})
-        if not tickets.adopt(book, handed_over):
+        if not tickets.adopt(rights, handed_over):
             return False
-        book.left_ms |= left
-        newest = sorted(book.left_ms, key=lambda each: book.left_ms[each])
+        rights.left_ms |= left
+        newest = sorted(rights.left_ms, key=lambda each: rights.left_ms[each])
         board.heir_of = tuple(newest[-MAX_HEIR_OF:])
         events.log_event(events.Event.TICKETS_ADOPTED, of=peer)
         return True
@@ -63,13 +63,13 @@
 async def hand_over(
     hub: hub_module.PeerHub,
     board: blackboard_module.Blackboard,
-    book: tickets.RightsTable,
+    rights: tickets.RightsTable,
     self_id: NodeId,
     wall_ms: int,
 ) -> bool:
     """Choose an heir and send it all rights; return whether it took all."""
     heir = choose_heir(hub, board)
-    handed_over = tickets.assign_heir(book, self_id, heir) if heir else None
+    handed_over = tickets.assign_heir(rights, self_id, heir) if heir else None
     if heir is None or handed_over is None:
         return False
     try:
@@ -80,7 +80,7 @@
             part = marks[first : first + MARKS_PER_MESSAGE]
             await send(hub, heir, "tickets.marks", {"marks": part})
         issuers = [
-            [*issuer, book.left_ms.get(issuer, wall_ms)]
+            [*issuer, rights.left_ms.get(issuer, wall_ms)]
             for issuer in handed_over.issuers
         ]
         await send(hub, heir, "tickets.issuers", {"issuers": issuers})
@@ -116,8 +116,8 @@
         and not vm.leaving
         and hub.links[vm.name].incarnation == vm.incarnation
     ]
-    here = board.failure_domain
-    staying.sort(key=lambda vm: (vm.failure_domain != here, vm.name))
+    own_domain = board.failure_domain
+    staying.sort(key=lambda vm: (vm.failure_domain != own_domain, vm.name))
     if not staying:
         return None
     return staying[0].name, staying[0].incarnation
--- a/src/carawayward/gateway/lookups.py
+++ b/src/carawayward/gateway/lookups.py
@@ -1,7 +1,7 @@
 """Looks up the outcome of a request from any entry VM.
 
-A node knows the requests that it received and the runs in its book of
-tickets and keys. For others it asks a bounded number of linked peers, and
+A node knows the requests that it received and the runs in its rights table
+(tickets and keys). For others it asks a bounded number of linked peers, and
 also the holder of the key's claim. "Not known" does not mean that the
 request did not run: the node that ran it may be gone.
 """
--- a/src/carawayward/gateway/once.py
+++ b/src/carawayward/gateway/once.py
@@ -3,9 +3,10 @@
 A right to run such a request is either a ticket or a caller's own key. Only
 the incarnation that issued a ticket may run it, and only the incarnation
 whose claim of a key came first in the log may run that key. In both cases
-the holder's book decides, in memory, before the first byte is sent. A lease
-would not be safe: a holder that is paused between its check and its send can
-outlive any lease, and some endpoints ignore fencing tokens.
+the holder's rights table (see ``protocol.tickets``) decides, in memory,
+before the first byte is sent. A lease would not be safe: a holder that is
+paused between its check and its send can outlive any lease, and some
+endpoints ignore fencing tokens.
 """
 
 import typing
@@ -80,7 +81,7 @@
     claims: claims_module.ClaimsController
     rules: tickets.Rules = attrs.field(factory=tickets.Rules)
     run_service: RunService | None = None
-    book: tickets.RightsTable = attrs.field(factory=tickets.RightsTable)
+    rights: tickets.RightsTable = attrs.field(factory=tickets.RightsTable)
     _running: dict[str, ActiveRun] = attrs.field(factory=dict)
     _nursery: trio.Nursery | None = None
 
@@ -115,7 +116,7 @@
         """Register handlers for relayed calls and for rights handed over."""
         self._nursery = nursery
         self.hub.handle("service.run", self._handle_relayed_call)
-        handover.listen(self.hub, self.board, self.book)
+        handover.listen(self.hub, self.board, self.rights)
         nursery.start_soon(self._prune_periodically)
 
     async def close(self) -> None:
@@ -123,7 +124,7 @@
         await handover.hand_over(
             self.hub,
             self.board,
-            self.book,
+            self.rights,
             self.self_id,
             self.lifecycle.clock.wall_ms(),
         )
@@ -134,7 +135,7 @@
 
     def find_outcome(self, key: tuple[str, str]) -> outcomes.Outcome | None:
         """Return the kept outcome of a run under (customer, request key)."""
-        use = self.book.uses.get(f"key {key[0]} {key[1]}")
+        use = self.rights.uses.get(f"key {key[0]} {key[1]}")
         return use.outcome if use is not None else None
 
     def issue(self, customer: declaration.Customer) -> tuple[str, int]:
@@ -187,7 +188,7 @@
         if ticket.customer != customer.name:
             raise errors.InvalidToken("the ticket is another customer's")
         issuer = (ticket.issuer, ticket.incarnation)
-        if not tickets.holds(self.book, issuer, self.self_id):
+        if not tickets.holds(self.rights, issuer, self.self_id):
             return await self._relay_to_holder(customer, call, issuer)
         call = attrs.evolve(call, request_key=ticket.ticket_id)
         right = f"ticket {ticket.ticket_id}"
@@ -209,7 +210,7 @@
         )
         match result:
             case claims_module.HeldBy(holder):
-                if not tickets.holds(self.book, holder, self.self_id):
+                if not tickets.holds(self.rights, holder, self.self_id):
                     return await self._relay_to_holder(customer, call, holder)
             case claims_module.Expired(verdict):
                 return once_outcomes.make_key_expired(verdict)
@@ -225,7 +226,11 @@
     async def _run_or_replay(self, once_run: OnceRun) -> outcomes.Outcome:
         wall_ms = self.lifecycle.clock.wall_ms()
         decision = tickets.decide(
-            self.book, once_run.right, once_run.expires_ms, wall_ms, self.rules
+            self.rights,
+            once_run.right,
+            once_run.expires_ms,
+            wall_ms,
+            self.rules,
         )
         match decision:
             case tickets.Run():
@@ -243,10 +248,10 @@
     def _start_run(self, once_run: OnceRun) -> None:
         """Mark the right used and start the run.
 
-        There must be no await between presenting the right and this.
+        There must be no await between ``tickets.decide`` and this.
         """
         assert self._nursery is not None
-        tickets.mark_used(self.book, once_run.right, once_run.expires_ms)
+        tickets.mark_used(self.rights, once_run.right, once_run.expires_ms)
         self._running[once_run.right] = ActiveRun()
         self._nursery.start_soon(self._execute, once_run)
 
@@ -297,7 +302,9 @@
                 detail=supervision.describe_fault(fault),
             )
         finally:
-            tickets.record_outcome(self.book, once_run.right, running.outcome)
+            tickets.record_outcome(
+                self.rights, once_run.right, running.outcome
+            )
             del self._running[once_run.right]
             running.done.set()
 
@@ -371,8 +378,8 @@
         while True:
             await self.lifecycle.clock.sleep(PRUNE_INTERVAL_MS)
             wall_ms = self.lifecycle.clock.wall_ms()
-            tickets.drop_expired(self.book, wall_ms, self.rules)
+            tickets.drop_expired(self.rights, wall_ms, self.rules)
             max_ttl_ms = max(TICKET_TTL_MS, self.claims.rules.window_ms)
             tickets.drop_expired_issuers(
-                self.book, wall_ms, max_ttl_ms, self.rules
+                self.rights, wall_ms, max_ttl_ms, self.rules
             )
--- a/src/carawayward/gateway/order_client.py
+++ b/src/carawayward/gateway/order_client.py
@@ -45,6 +45,7 @@
         ``may_send`` is called once the connection is open, right before the
         first byte is sent, so that a process which was paused until then
         sends no outdated order.
+
         Without an answer the order may have taken effect; the caller reads
         the endpoint's order again before it sends another.
         """
--- a/src/carawayward/gateway/planning.py
+++ b/src/carawayward/gateway/planning.py
@@ -220,7 +220,7 @@
 ) -> None:
     """Record the time of one step's answer, and queue it for rating.
 
-    Every answer of a version under roll-out is rated, and a sample of the
+    Every answer of a version under roll-out is queued, and a sample of the
     others. The sample includes cheap answers that the check escalated, so
     the quality of answers below the threshold is known without extra runs.
     """
--- a/src/carawayward/gateway/running.py
+++ b/src/carawayward/gateway/running.py
@@ -202,7 +202,7 @@
         view: placement.EndpointView,
         waiter: queues_module.Waiter | None,
     ) -> hedging.Runner:
-        """Return a run on a slot that is already taken; it frees the slot."""
+        """Return a function that runs on a taken slot and then frees it."""
         request = step.request
         run = endpoints_module.Run(
             run_id=f"{request.request_key}.{step.index}.{step.runs}",
--- a/src/carawayward/gateway/sessions.py
+++ b/src/carawayward/gateway/sessions.py
@@ -131,9 +131,11 @@
         two domains is one session. The others serve while this domain is cut
         off.
         """
-        here = self.board.failure_domain
+        own_domain = self.board.failure_domain
         staying = [v for v in self.board.entry_vms.values() if not v.leaving]
-        in_domain = [vm.name for vm in staying if vm.failure_domain == here]
+        in_domain = [
+            vm.name for vm in staying if vm.failure_domain == own_domain
+        ]
         text = "|".join(key)
         own = self.board.name
         homes = membership.choose_highest(
--- a/src/carawayward/gateway/streams.py
+++ b/src/carawayward/gateway/streams.py
@@ -123,8 +123,9 @@
     async def read_to_end(self) -> RunEnd:
         """Read the run to its end event, resuming over new connections.
 
-        Raises EndpointError when the engine does not have the run or has
-        been silent for too long.
+        Raises EndpointError when the engine cannot be reached, no longer
+        has the run or has been silent for too long, when the stream cannot
+        be resumed, or when the answer does not match the engine's totals.
         """
         self.heard = trio.current_time()
         resume = False
