--- a/src/carawayward/decisions/cascade.py
+++ b/src/carawayward/decisions/cascade.py
@@ -165,7 +165,8 @@
 ) -> Candidate:
     """The strong version alone, estimated from escalated requests.
 
-    Those are no easier than the overall mix, so the bound is not too high.
+    Escalated requests are no easier than the overall mix, so the lower bound
+    is not too high.
     """
     count = parts.strong_count
     quality = count.good / count.total if count.total else 0.0
@@ -214,8 +215,8 @@
 
     A request that escalates takes the time of two answers. If the 95th
     percentile times of both do not fit into the remaining time, the strong
-    version answers alone; if that does not fit either, the cheap one does,
-    since a late answer is useless.
+    version answers alone; if that does not fit either and the cheap one is
+    faster, the cheap one does, since a late answer is useless.
     """
     times = [usual_ms.get(step.version, 0.0) for step in steps]
     allowed = left_ms * DEADLINE_SHARE
--- a/src/carawayward/decisions/escalation.py
+++ b/src/carawayward/decisions/escalation.py
@@ -30,9 +30,10 @@
 # routes that the engines serve. Up to the first, escalation is not restricted;
 # past the second, nothing escalates. From the first on, the least certain half
 # of the escalations is dropped, few of which would improve an answer; up to
-# the second, first tokens of the shortest target are still in time. Replayed
-# at a third of the load that the engines can bear, under 0.03 of hard requests
-# are held back; with 0.55 for the second it is 0.02 to 0.08.
+# the second, first tokens of the shortest target are still in time. In a
+# replay at a third of the load that the engines can bear, under 0.03 of the
+# hard requests are kept from escalating; with 0.55 for the second it is 0.02
+# to 0.08.
 LOW_BACKLOG = 0.2
 HIGH_BACKLOG = 0.7
 # Time to first token of the larger model, as parts of the route's target. If
--- a/src/carawayward/decisions/evidence.py
+++ b/src/carawayward/decisions/evidence.py
@@ -22,7 +22,8 @@
 # VM.
 MAX_CELLS = 30_000
 
-# Bisection steps when computing a bound: a millionth is finer than any rating.
+# Bisection steps when computing a bound. The error is below a millionth, finer
+# than any number of ratings requires.
 BISECTIONS = 20
 
 
--- a/src/carawayward/decisions/rollout.py
+++ b/src/carawayward/decisions/rollout.py
@@ -27,7 +27,10 @@
 
 @attrs.frozen(kw_only=True)
 class Halt:
-    """A roll-out was found bad; valid wherever it stands in the log."""
+    """A roll-out was found bad.
+
+    It names no base, so it takes effect wherever it stands in the log.
+    """
 
     rollout: str
     generation: int
--- a/src/carawayward/gateway/running.py
+++ b/src/carawayward/gateway/running.py
@@ -53,6 +53,7 @@
     request; from then on a refusal must not say "not run". A ``buffered``
     step passes its text on only when the answer is complete, so a run that
     breaks off can be started again: nothing has reached the caller.
+    ``excluded`` names the endpoints that are not tried again.
     """
 
     customer: declaration.Customer
