--- a/src/carawayward/gateway/running.py
+++ b/src/carawayward/gateway/running.py
@@ -53,6 +53,7 @@
     request; from then on a refusal must not say "not run". A ``buffered``
     step passes its text on only when the answer is complete, so a run that
     breaks off can be started again: nothing has reached the caller.
+    ``excluded`` names the endpoints that are not tried again.
     """
 
     customer: declaration.Customer
@@ -202,7 +203,7 @@
         view: placement.EndpointView,
         waiter: queues_module.Waiter | None,
     ) -> hedging.Runner:
-        """Return a run on a slot that is already taken; it frees the slot."""
+        """Return a function that runs on a taken slot and then frees it."""
         request = step.request
         run = endpoints_module.Run(
             run_id=f"{request.request_key}.{step.index}.{step.runs}",
