--- a/src/carawayward/controllers/membership.py
+++ b/src/carawayward/controllers/membership.py
@@ -43,7 +43,7 @@
     clock: clock_module.Clock
     hub: hub_module.PeerHub
     address: str
-    known: dict[str, membership.Heard] = attrs.field(factory=dict)
+    known: dict[str, membership.KnownMember] = attrs.field(factory=dict)
     changed: dict[str, int] = attrs.field(factory=dict)
     _started_ms: int = 0
     _sequence: int = 0
@@ -56,7 +56,7 @@
         """Begin to tell peers and to hear from them."""
         self._started_ms = self.clock.wall_ms()
         self.hub.handle(KIND, self._take_members)
-        self.hub.greet_with(self._greet)
+        self.hub.add_link_callback(self._greet)
         nursery.start_soon(self._gossip)
         nursery.start_soon(self._watch_self)
 
@@ -148,18 +148,18 @@
             SILENT_BEATS * self._beat_ms(),
         )
         rows = [membership.encode_member(record) for record in records]
-        await self.hub.tell(peer, KIND, rows)
+        await self.hub.notify(peer, KIND, rows)
 
     async def _push_self(self) -> None:
         row = membership.encode_member(self.known[self.board.name].member)
-        await self.hub.tell_all(KIND, [row])
+        await self.hub.notify_all(KIND, [row])
 
     async def _gossip(self) -> None:
         while True:
             await self.clock.sleep(ROUND_MS)
             now = self.clock.now_ms()
             silence_ms = SILENT_BEATS * self._beat_ms()
-            for name in membership.forget_silent(self.known, now, silence_ms):
+            for name in membership.drop_silent(self.known, now, silence_ms):
                 events.log_event(events.Event.MEMBER_FORGOTTEN, node=name)
             self._write_board()
             peers = sorted(self.hub.links)
@@ -176,7 +176,7 @@
             )
             rows = [membership.encode_member(record) for record in records]
             peer = peers[self._turn % len(peers)]
-            await self.hub.tell(peer, KIND, rows)
+            await self.hub.notify(peer, KIND, rows)
 
     async def _take_members(self, peer: str, body: typing.Any) -> None:
         for row in body:
@@ -210,7 +210,7 @@
                 address=member.address,
                 leaving=member.leaving,
                 revision=member.revision,
-                heard_ms=now if linked else heard.risen_ms,
+                heard_ms=now if linked else heard.updated_ms,
             )
         for vm in before.values():
             self._keep_untold(shown, vm, now)
--- a/src/carawayward/forwarding/load_reports.py
+++ b/src/carawayward/forwarding/load_reports.py
@@ -33,7 +33,7 @@
 # a report, and how often while none is, as a heartbeat.
 REPORT_INTERVAL_MS = 400.0
 HEARTBEAT_MS = 1_500.0
-# The least time for which a peer's report about itself is valid.
+# Minimum time for which a peer's ``stale`` flag and topics are valid.
 PEER_TIMEOUT_MS = 2 * HEARTBEAT_MS
 # This many engines fit into an Ethernet frame together with the prompt parts.
 MAX_ENGINES_PER_REPORT = 30
@@ -111,10 +111,10 @@
         self._socket = trio.socket.from_stdlib_socket(udp_socket)
         await self.registration.start(nursery)
         for task in (self._listen, self._join):
-            nursery.start_soon(supervision.keep_running, task, ())
+            nursery.start_soon(supervision.run_with_restarts, task, ())
         for channel in self.channels:
             nursery.start_soon(
-                supervision.keep_running, self._send_reports, (channel,)
+                supervision.run_with_restarts, self._send_reports, (channel,)
             )
 
     async def close(self) -> None:
@@ -274,7 +274,10 @@
     def _resolve_sender(
         self, sender: load_report_messages.Sender | int
     ) -> report_channels.Peer | None:
-        """The peer that sent a datagram; None before its introduction."""
+        """Return the peer that sent a report; None before its introduction.
+
+        A report that introduces its sender adds it to the directory.
+        """
         if isinstance(sender, int):
             return self.directory.get_by_number(sender)
         self._add_peer(sender)
@@ -399,8 +402,10 @@
             engine = names.get(part.engine)
             if engine is not None:
                 cached = [(part.key, part.tokens)]
-                memory = self.get_memory_tokens(engine)
-                engine_load.record_cached(self.loads, engine, cached, memory)
+                cache_tokens = self.get_memory_tokens(engine)
+                engine_load.record_cached(
+                    self.loads, engine, cached, cache_tokens
+                )
 
     def _get_engine_names(self) -> dict[int, str]:
         """The names of the listed endpoints, by their hashes."""
--- a/src/carawayward/protocol/tickets.py
+++ b/src/carawayward/protocol/tickets.py
@@ -1,14 +1,15 @@
-"""Tickets: the right of one incarnation to run one request, once.
-
-The book of an incarnation says what became of each right that it holds: its
-own tickets, and keys whose claims it won. A right is marked used before the
-first byte goes out, in memory that only this incarnation has. A pause of any
-length cannot make a second run, since the mark is where the decision is;
-a crash loses book and right together.
-
-Both end. A ticket that has expired is never run, and its mark is kept past
-that by ``kept_ms``; a mark is dropped only when the ticket can no longer be
-taken for an unused one.
+"""Tickets: the right of one incarnation to run one request at most once.
+
+The rights table of an incarnation records the state of each right that it
+holds: the tickets that it issued, and the keys whose claims it won. A right
+is marked as used before the first byte is sent, in memory that only this
+incarnation has. A pause of any length cannot lead to a second run, since the
+decision is made where the mark is; a crash loses the table and with it the
+rights.
+
+Rights and marks both expire. An expired ticket is never run, and its mark is
+retained for ``retention_ms`` beyond that. A mark is dropped only when the
+ticket can no longer be mistaken for an unused one.
 """
 
 import dataclasses
@@ -20,23 +21,26 @@
 
 @attrs.frozen(kw_only=True)
 class Rules:
-    """Times in ms and the most marks that a book holds.
+    """Times in ms, and limits to the size of a rights table.
 
-    The limit bounds memory: a mark takes some 300 bytes, an answer more,
-    so answers are dropped first (``answers_most``), marks never early.
+    The limits bound memory. A mark takes some 300 bytes and an answer more,
+    so answers beyond ``max_answers`` are dropped, while marks are never
+    dropped early: at ``max_marks``, new rights are refused.
     """
 
     skew_ms: int = 2_000
-    kept_ms: int = 600_000
-    marks_most: int = 50_000
-    answers_most: int = 5_000
+    retention_ms: int = 600_000
+    max_marks: int = 50_000
+    max_answers: int = 5_000
 
 
 @attrs.frozen(kw_only=True)
 class Use:
-    """A used right: running, ended with ``outcome``, or its answer dropped.
+    """Mark of a used right.
 
-    ``expires_ms`` is the wall time after which the right is never run.
+    Its run is in progress, or has ended; after the end, ``outcome`` is None
+    if the answer is no longer stored. ``expires_ms`` is the wall-clock time
+    after which the right is never run.
     """
 
     expires_ms: int
@@ -45,13 +49,13 @@
 
 
 @attrs.define
-class Book:
-    """The rights that one incarnation holds.
+class RightsTable:
+    """State of the rights that one incarnation holds.
 
-    ``adopted`` are incarnations whose rights were handed to this one, and
-    ``heir`` is to whom this one handed its own: (name, incarnation).
-    ``left_ms`` says when an adopted incarnation left (wall clock), as far as
-    that is known.
+    ``uses`` are the marks by right. ``adopted`` are the incarnations whose
+    rights were handed over to this one, and ``heir`` is the incarnation
+    (name, incarnation) to which this one handed over all its rights.
+    ``left_ms`` is when an adopted incarnation left (wall clock), if known.
     """
 
     uses: dict[str, Use] = attrs.field(factory=dict)
@@ -62,31 +66,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """Run it now; the caller of ``present`` has to mark it used first."""
+    """Run it now; the caller of ``decide`` must first mark it used."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wait:
-    """The first run is under way; its answer is this call's answer."""
+    """The first run is in progress; its outcome answers this call too."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replay:
-    """The first run has ended; give its outcome."""
+    """The first run has ended; return its outcome."""
 
     outcome: outcomes.Outcome
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Relay:
-    """Another incarnation holds the right now; only it may say more."""
+    """Another incarnation holds the right now; forward the call to it."""
 
     to: tuple[str, str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Not run by this call; the outcome says what is known."""
+    """Do not run it; ``outcome`` says what is known about earlier runs."""
 
     outcome: outcomes.Outcome
 
@@ -95,22 +99,22 @@
 
 
 def holds(
-    book: Book, issuer: tuple[str, str], self_id: tuple[str, str]
+    table: RightsTable, issuer: tuple[str, str], self_id: tuple[str, str]
 ) -> bool:
-    """Whether this incarnation's book speaks for an issuer's rights."""
-    return issuer == self_id or issuer in book.adopted
+    """Whether this incarnation holds the rights of an issuer."""
+    return issuer == self_id or issuer in table.adopted
 
 
-def present(
-    book: Book, right: str, expires_ms: int, wall_ms: int, rules: Rules
+def decide(
+    table: RightsTable, right: str, expires_ms: int, wall_ms: int, rules: Rules
 ) -> Decision:
-    """What to do with a right that this book speaks for."""
-    if book.heir is not None:
-        return Relay(book.heir)
-    use = book.uses.get(right)
+    """Decide on a call with a right that this incarnation holds."""
+    if table.heir is not None:
+        return Relay(table.heir)
+    use = table.uses.get(right)
     if use is not None:
-        return _present_used(use)
-    if wall_ms > expires_ms + rules.kept_ms:
+        return _decide_used(use)
+    if wall_ms > expires_ms + rules.retention_ms:
         return Refuse(
             outcomes.Unknown(
                 outcomes.Reason.TICKET_LOST,
@@ -125,7 +129,7 @@
                 "the ticket ended unused; take a new one",
             )
         )
-    if len(book.uses) >= rules.marks_most:
+    if len(table.uses) >= rules.max_marks:
         return Refuse(
             outcomes.NotRun(
                 outcomes.Reason.OVERLOADED,
@@ -136,7 +140,7 @@
     return Run()
 
 
-def _present_used(use: Use) -> Decision:
+def _decide_used(use: Use) -> Decision:
     if not use.ended:
         return Wait()
     if use.outcome is None:
@@ -150,95 +154,98 @@
     return Replay(use.outcome)
 
 
-def mark_used(book: Book, right: str, expires_ms: int) -> None:
-    """Note that the right is spent, before the first byte goes out."""
-    book.uses[right] = Use(expires_ms=expires_ms)
+def mark_used(table: RightsTable, right: str, expires_ms: int) -> None:
+    """Mark the right as used, before the first byte is sent."""
+    table.uses[right] = Use(expires_ms=expires_ms)
 
 
-def end_use(book: Book, right: str, outcome: outcomes.Outcome) -> None:
-    """Keep the outcome of a run, or free a right that was surely not run.
+def record_outcome(
+    table: RightsTable, right: str, outcome: outcomes.Outcome
+) -> None:
+    """Store the outcome of a run, or release a right that was not run.
 
-    Only ``NotRun`` frees it: the dispatcher says that only when no byte
-    has left, so the same right may be tried again.
+    Only ``NotRun`` releases it: the dispatcher returns that only if no byte
+    was sent, so that the same right may be tried again.
     """
-    use = book.uses.get(right)
+    use = table.uses.get(right)
     if use is None:
         return
     if isinstance(outcome, outcomes.NotRun):
-        del book.uses[right]
+        del table.uses[right]
         return
-    book.uses[right] = attrs.evolve(use, ended=True, outcome=outcome)
+    table.uses[right] = attrs.evolve(use, ended=True, outcome=outcome)
 
 
-def forget_old(book: Book, wall_ms: int, rules: Rules) -> None:
-    """Drop ended marks past their time, and the oldest answers over the bound.
+def drop_expired(table: RightsTable, wall_ms: int, rules: Rules) -> None:
+    """Drop expired marks of ended runs, and the oldest answers over the limit.
 
-    A mark goes only when ``present`` would refuse its right as lost: one
-    dropped earlier would make a used ticket look unused.
+    A mark is dropped only when ``decide`` would refuse its right as lost
+    anyway; dropped earlier, it would make a used ticket look unused.
     """
-    horizon = wall_ms - rules.kept_ms - rules.skew_ms
-    book.uses = {
+    horizon = wall_ms - rules.retention_ms - rules.skew_ms
+    table.uses = {
         right: use
-        for right, use in book.uses.items()
+        for right, use in table.uses.items()
         if use.expires_ms >= horizon or not use.ended
     }
-    answered = [r for r, use in book.uses.items() if use.outcome is not None]
-    for right in answered[: max(0, len(answered) - rules.answers_most)]:
-        book.uses[right] = attrs.evolve(book.uses[right], outcome=None)
+    answered = [r for r, use in table.uses.items() if use.outcome is not None]
+    for right in answered[: max(0, len(answered) - rules.max_answers)]:
+        table.uses[right] = attrs.evolve(table.uses[right], outcome=None)
 
 
-def forget_issuers(
-    book: Book, wall_ms: int, longest_ms: int, rules: Rules
+def drop_expired_issuers(
+    table: RightsTable, wall_ms: int, max_ttl_ms: int, rules: Rules
 ) -> None:
-    """Stop speaking for incarnations whose last rights ended long ago.
+    """Drop adopted incarnations whose last rights expired long ago.
 
-    Made for VMs that are replaced all day: without it the list would grow
-    with every hand-over down the line. ``longest_ms`` is how long any right
-    lasts; past it and ``kept_ms`` a resend is answered as lost either way.
+    Where VMs are replaced continuously, the list would otherwise grow with
+    every hand-over from heir to heir. ``max_ttl_ms`` is the longest
+    validity of a right; after it and ``retention_ms``, a resend is answered
+    as lost in any case.
     """
-    horizon = wall_ms - longest_ms - rules.kept_ms - 2 * rules.skew_ms
-    for issuer, left_ms in list(book.left_ms.items()):
+    horizon = wall_ms - max_ttl_ms - rules.retention_ms - 2 * rules.skew_ms
+    for issuer, left_ms in list(table.left_ms.items()):
         if left_ms < horizon:
-            book.adopted.discard(issuer)
-            del book.left_ms[issuer]
+            table.adopted.discard(issuer)
+            del table.left_ms[issuer]
 
 
 @attrs.frozen(kw_only=True)
 class HandOver:
-    """What a leaving incarnation gives to its heir."""
+    """The rights that a leaving incarnation passes to its heir."""
 
     issuers: frozenset[tuple[str, str]]
     uses: dict[str, Use]
 
 
-def name_heir(
-    book: Book, self_id: tuple[str, str], heir: tuple[str, str]
+def assign_heir(
+    table: RightsTable, self_id: tuple[str, str], heir: tuple[str, str]
 ) -> HandOver | None:
-    """Give all rights away, once; None if that was done before.
+    """Hand over all rights to an heir, once; None if that was done before.
 
-    From here on ``present`` only relays. The heir is set before anything
-    is sent, so whether the message arrives makes no difference to safety:
-    at most one book ever speaks for a right. A run that is still under way
-    goes over as spent with no answer.
+    From here on, ``decide`` only relays. The heir is set before anything is
+    sent, so safety does not depend on the delivery of the hand-over: at most
+    one incarnation holds a right at any time. A run that is still in
+    progress is handed over as ended without an answer.
     """
-    if book.heir is not None:
+    if table.heir is not None:
         return None
-    book.heir = heir
+    table.heir = heir
     uses = {
         right: attrs.evolve(use, ended=True)
-        for right, use in book.uses.items()
+        for right, use in table.uses.items()
     }
-    return HandOver(issuers=frozenset(book.adopted | {self_id}), uses=uses)
+    return HandOver(issuers=frozenset(table.adopted | {self_id}), uses=uses)
 
 
-def adopt(book: Book, given: HandOver) -> bool:
-    """Take over a leaving node's rights; False if this one gave up its own.
+def adopt(table: RightsTable, handed_over: HandOver) -> bool:
+    """Take over a leaving node's rights; False if this one has an heir itself.
 
-    Marks are taken before the issuers, and none that is here is replaced.
+    Marks are adopted before the issuers, and existing marks are kept.
     """
-    if book.heir is not None:
+    if table.heir is not None:
         return False
-    for right, use in given.uses.items():
-        book.uses.setdefault(right, use)
-    book.adopted |= given.issuers
+    for right, use in handed_over.uses.items():
+        table.uses.setdefault(right, use)
+    table.adopted |= handed_over.issuers
     return True
--- a/tests/common/unguarded.py
+++ b/tests/common/unguarded.py
@@ -84,7 +84,7 @@
     "pins": ignore_pins,
     "allowed": allow_all,
     "woken": replace(claims, "may_dispatch", lambda *times: True),
-    "mark": replace(tickets, "present", lambda *arguments: tickets.Run()),
+    "mark": replace(tickets, "decide", lambda *arguments: tickets.Run()),
     "recheck": replace(
         dispatch.Dispatcher, "_recheck", lambda self, step: None
     ),
--- a/tests/model/__init__.py
+++ b/tests/model/__init__.py
@@ -1,1 +1,1 @@
-"""Model checking of the core protocols."""
+"""Model checks of the distributed protocols."""
