--- a/bench/rig_node.py
+++ b/bench/rig_node.py
@@ -109,7 +109,7 @@
         if self.policy.chooser != "own":
             self._start(job, self._choose_baseline(job))
             return
-        if self._refuse_convicted(job):
+        if self._refuse_if_convicted(job):
             return
         name = job.customer if self.policy.has("fairness") else "all"
         work = admission.estimate_service_ms(self.service_times, job.customer)
@@ -156,16 +156,16 @@
             self.queue, item, self.loop.now, slots, places, retry_schedule
         )
 
-    def _refuse_convicted(self, job: rig_world.Job) -> bool:
+    def _refuse_if_convicted(self, job: rig_world.Job) -> bool:
         wall_ms = WALL_MS + int(self.loop.now)
-        guilty = (
-            job.killer
+        convicted = (
+            job.crashes_engine
             and self.policy.has("suspects")
             and suspicion.is_convicted(self.suspects, "killer", wall_ms)
         )
-        if guilty:
+        if convicted:
             self._finish(job, "convicted")
-        return guilty
+        return convicted
 
     def start_waiting(self) -> None:
         """Start as many waiting jobs as possible, retries first."""
@@ -311,7 +311,7 @@
     def _record_failure(
         self, run: rig_world.Run, view: placement.EndpointView, how: str
     ) -> None:
-        if how == "crashed" and run.job.killer:
+        if how == "crashed" and run.job.crashes_engine:
             crash = suspicion.Crash(
                 "killer", view.name, WALL_MS + int(self.loop.now), "r"
             )
@@ -326,7 +326,7 @@
 
     def _retry(self, job: rig_world.Job, failed: str, how: str) -> None:
         job.excluded |= {failed}
-        if self._refuse_convicted(job):
+        if self._refuse_if_convicted(job):
             return
         spent = job.attempts >= MAX_ATTEMPTS
         if not spent and self.policy.has("budget") and how != "unsent":
--- a/bench/rig_scenarios.py
+++ b/bench/rig_scenarios.py
@@ -47,7 +47,7 @@
     lag_ms: float = 1_000.0
     faults: dict[int, tuple[str, float]] = attrs.field(factory=dict)
     fault_ms: tuple[float, float] = (6_000.0, 1e9)
-    killer_every_ms: float = 0.0
+    crash_interval_ms: float = 0.0
     comebacks: float = 0.0
     impatient: bool = False
     urgent: bool = False
@@ -122,8 +122,8 @@
             self._schedule_arrival(customer, weight)
         for index, (fault, slow) in scenario.faults.items():
             self._schedule_fault(self.engines[index], fault, slow)
-        if scenario.killer_every_ms:
-            self.loop.at(WARMUP_MS, self._send_killer)
+        if scenario.crash_interval_ms:
+            self.loop.at(WARMUP_MS, self._send_crashing_job)
         self.loop.at(0.0, self._report_loads)
         self.loop.at(WARMUP_MS, self._clear_counts)
 
@@ -192,21 +192,21 @@
             # A Pareto draw approximates Zipf's law of popularity.
             prefix = int(self.arrivals.paretovariate(0.6)) - 1
             prefix %= self.scenario.prefixes
-        patience = DEADLINE_MS * (2.0 if self.scenario.mixed else 1.0)
+        timeout_ms = DEADLINE_MS * (2.0 if self.scenario.mixed else 1.0)
         if self.scenario.urgent:
-            patience *= self.arrivals.choice((0.4, 2.0))
+            timeout_ms *= self.arrivals.choice((0.4, 2.0))
         return rig_world.Job(
             customer=customer,
             weight=weight,
             tokens=rig_world.draw_tokens(self.arrivals, self.scenario.mixed),
             arrived=self.loop.now,
-            deadline=self.loop.now + patience,
+            deadline=self.loop.now + timeout_ms,
             prefix=prefix,
         )
 
     def _send(self, job: rig_world.Job) -> None:
         late = job.arrived >= WARMUP_MS
-        if not job.killer:
+        if not job.crashes_engine:
             (self.jobs if late else self.warmup_jobs).append(job)
         if late and job.prefix >= 0:
             self.prefixes.append(job.prefix)
@@ -222,16 +222,16 @@
         inside = (node_domain == DOMAINS[-1], engine_domain == DOMAINS[-1])
         return inside[0] != inside[1]
 
-    def _send_killer(self) -> None:
+    def _send_crashing_job(self) -> None:
         job = self._make_job("small-0", 1.0)
-        job.killer = True
+        job.crashes_engine = True
         self._send(job)
         if self.loop.now < END_MS:
-            pause = self.scenario.killer_every_ms
-            self.loop.at(self.loop.now + pause, self._send_killer)
+            pause = self.scenario.crash_interval_ms
+            self.loop.at(self.loop.now + pause, self._send_crashing_job)
 
     def _record_end(self, job: rig_world.Job) -> None:
-        if job.outcome == "answered" or job.killer:
+        if job.outcome == "answered" or job.crashes_engine:
             return
         again = attrs.evolve(job, outcome="", attempts=0, retry_after_ms=None)
         again.excluded = frozenset()
--- a/bench/rig_suite.py
+++ b/bench/rig_suite.py
@@ -83,7 +83,7 @@
             ("local", "ejection", "hedging"),
         ),
         (
-            scenario(name="crashing request", killer_every_ms=500.0),
+            scenario(name="crashing request", crash_interval_ms=500.0),
             ("suspects",),
         ),
         (
--- a/bench/rig_world.py
+++ b/bench/rig_world.py
@@ -47,8 +47,8 @@
 class Job:
     """A caller's request and its outcome.
 
-    ``killer`` crashes the engine that runs it; ``prefix`` is the number of
-    its prompt prefix, or -1; ``is_retry`` marks a retry after a refusal.
+    ``prefix`` is the number of its prompt prefix, or -1. ``is_retry`` marks
+    a retry after a refusal.
     """
 
     customer: str
@@ -57,7 +57,7 @@
     arrived: float
     deadline: float
     prefix: int = -1
-    killer: bool = False
+    crashes_engine: bool = False
     is_retry: bool = False
     outcome: str = ""
     ended: float = 0.0
@@ -117,7 +117,7 @@
             self.runs[run] = float("inf")
             self.loop.at(self.loop.now + delay, lambda: self._end(run, how))
             return
-        if run.job.killer:
+        if run.job.crashes_engine:
             self.runs[run] = float("inf")
             self.loop.at(self.loop.now + 50.0, lambda: self._crash(run))
             return
@@ -202,8 +202,8 @@
             self._schedule()
             run.done(run, how)
 
-    def _crash(self, guilty: Run) -> None:
-        if not guilty.live or self.fault == "down":
+    def _crash(self, culprit: Run) -> None:
+        if not culprit.live or self.fault == "down":
             return
         self._advance()
         self.crashes += 1
--- a/tests/history/checkers.py
+++ b/tests/history/checkers.py
@@ -198,7 +198,8 @@
         if count > 1 or (count and key not in ran):
             violations.append(f"{key} has {count} bills, ran: {key in ran}")
         violations += [
-            f"{key} was told {call.cost} and billed {bills[key][0].cost}"
+            f"{key} was reported at {call.cost} and billed at "
+            f"{bills[key][0].cost}"
             for call in answered
             if count and call.cost not in (None, bills[key][0].cost)
         ]
