--- a/bench/quality.py
+++ b/bench/quality.py
@@ -61,7 +61,7 @@
                 pool.submit(quality_halts.count_false_halts, w, s, part)
                 for s in starts
             ]
-            for w in quality_halts.WEATHERS
+            for w in quality_halts.RATINGS_SCENARIOS
         ]
         text = quality_report.make_report(
             costs=[each.result() for each in costs],
@@ -69,7 +69,7 @@
             halts=[
                 (w.name, sum(f.result() for f in futures), part * len(starts))
                 for w, futures in zip(
-                    quality_halts.WEATHERS, halts, strict=True
+                    quality_halts.RATINGS_SCENARIOS, halts, strict=True
                 )
             ],
         )
--- a/bench/quality_cost.py
+++ b/bench/quality_cost.py
@@ -142,7 +142,7 @@
     for number, ask in enumerate(asks):
         rig.clock.advance(200)
         if number % 50 == 0:
-            node.ratings.forget()
+            node.ratings.evict_expired()
         key = f"r{number}"
         plan = planning.choose_plan(board, customer, task, key, {}, 1e9)
         cost, good, ran = run_steps(mix, ask, plan.steps)
@@ -157,7 +157,7 @@
                     evidence.find_band(ask.confidence),
                     index > 0,
                 ),
-                given_ms=rig.clock.wall_ms(),
+                answered_at_ms=rig.clock.wall_ms(),
                 messages=[],
                 text="",
             )
@@ -168,7 +168,7 @@
                 good = ask.cheap_good if cheap else ask.strong_good
                 late.append((sample, good))
         while len(late) > 20:
-            node.ratings.count(*late.pop(0))
+            node.ratings.record_rating(*late.pop(0))
     return done
 
 
--- a/bench/quality_exposure.py
+++ b/bench/quality_exposure.py
@@ -29,19 +29,19 @@
 
     def judge(answer: dict) -> bool:
         share = good if answer["version"] == "scribe-8" else 0.96
-        return platform_fakes.draw(answer["id"], seed) < share
+        return platform_fakes.hash_fraction(answer["id"], seed) < share
 
     rig = quality_rig.Rig.from_config(
         quality_rig.make_document([stage]), domains, count, judge
     )
     rig.service.delay_ms = delay_s * 1_000
-    rig.numbers = seed * 1_000_000
+    rig.request_count = seed * 1_000_000
     seconds = trio.run(run_until_halted, rig, 4 * delay_s + 1_200)
     return {
         "count": count,
         "delay_s": delay_s,
         "kind": kind,
-        "exposed": rig.exposed.get("scribe-8", 0),
+        "exposed": rig.answers_by_version.get("scribe-8", 0),
         "seconds": seconds,
         "baseline": run_baseline(count, delay_s, good, seed),
     }
@@ -49,11 +49,11 @@
 
 async def run_until_halted(rig: quality_rig.Rig, limit: int) -> int:
     """Serve until the halt is known everywhere; seconds it took, or -1."""
-    draw = random.Random(rig.numbers)
+    draw = random.Random(rig.request_count)
     for second in range(limit):
         for _ in range(RATE):
             node = rig.nodes[draw.randrange(len(rig.nodes))]
-            rig.ask(node, "delta-hosts", "stage-note")
+            rig.send_request(node, "delta-hosts", "stage-note")
         await rig.tick()
         if all(node.board.quality.halted for node in rig.nodes):
             return second + 1
--- a/bench/quality_halts.py
+++ b/bench/quality_halts.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Weather:
+class RatingsScenario:
     """What the ratings are like; the version is as good as its baseline."""
 
     name: str
@@ -26,22 +26,22 @@
     bad_first: bool = False
 
 
-WEATHERS = (
-    Weather(name="5% bad, as the baseline"),
-    Weather(name="15% bad, as the baseline", bad=0.15),
-    Weather(
+RATINGS_SCENARIOS = (
+    RatingsScenario(name="5% bad, as the baseline"),
+    RatingsScenario(name="15% bad, as the baseline", bad=0.15),
+    RatingsScenario(
         name="half way all ratings turn harsher (20% more bad)",
         harsh_from=0.5,
         harsh=0.2,
     ),
-    Weather(
+    RatingsScenario(
         name="bad ratings arrive first, good ones a minute later",
         bad_first=True,
     ),
 )
 
 
-def count_false_halts(weather: Weather, first: int, count: int) -> int:
+def count_false_halts(weather: RatingsScenario, first: int, count: int) -> int:
     """Good roll-outs that were halted, of ``count``."""
     document = declaration.Declaration.from_config(
         quality_rig.make_document(
@@ -63,15 +63,15 @@
 
 
 def is_halted(
-    document: declaration.Declaration, weather: Weather, seed: int
+    document: declaration.Declaration, weather: RatingsScenario, seed: int
 ) -> bool:
     """Play one good roll-out, testing at every bad rating."""
     draw = random.Random(f"{weather.name} {seed}")
-    part = quality.QualityPart()
+    part = quality.QualityState()
     trial = quality.Trial(
         declared=document.rollouts[0],
         progress=rollout.Progress(base=1, stage=0),
-        account=quality.Account("scribe-8", 1, "hall-a"),
+        budget_key=quality.BudgetKey("scribe-8", 1, "hall-a"),
         share=1.0,
         budget=1,
         holders=("vm-0",),
@@ -88,13 +88,13 @@
             table.add("vm-0", at_ms // epoch_ms, key, good)
         if version == "scribe-8" and not good:
             part.recent_evidence.forget(at_ms // quality.RECENT_EPOCH_MS)
-            if trial_groups.find_worse(part, trial, document):
+            if trial_groups.find_worse_group(part, trial, document):
                 return True
     return False
 
 
 def make_ratings(
-    weather: Weather, draw: random.Random
+    weather: RatingsScenario, draw: random.Random
 ) -> list[tuple[int, int, str, str, str, bool]]:
     """Ratings in order of arrival: five of the baseline's to each one."""
     events = []
--- a/src/carawayward/blackboard.py
+++ b/src/carawayward/blackboard.py
@@ -72,7 +72,7 @@
     address: str
     leaving: bool = False
     revision: int = 0
-    heard_ms: float = 0.0
+    last_heard_ms: float = 0.0
 
 
 @attrs.frozen(kw_only=True)
@@ -99,17 +99,17 @@
     state: NodeState = NodeState.STARTING
     config: ConfigInForce | None = None
     config_since_ms: float = freshness.NEVER
-    fresh_ms: float = freshness.NEVER
+    current_as_of_ms: float = freshness.NEVER
     lease_ms: float = 12_000.0
     entry_vms: dict[str, EntryVm] = attrs.field(factory=dict)
     heir_of: tuple[tuple[str, str], ...] = ()
     heirs: dict[tuple[str, str], tuple[str, str]] = attrs.field(factory=dict)
     endpoints: dict[str, Endpoint] = attrs.field(factory=dict)
-    surveyed: bool = False
+    endpoints_probed: bool = False
     in_flight: dict[str, int] = attrs.field(factory=dict)
     running: int = 0
-    quality: quality_module.QualityPart = attrs.field(
-        factory=quality_module.QualityPart
+    quality: quality_module.QualityState = attrs.field(
+        factory=quality_module.QualityState
     )
 
     def is_fresh(self, now_ms: float) -> bool:
@@ -117,7 +117,7 @@
 
         Without one, roll-outs count as frozen; see protocol/freshness.
         """
-        return freshness.is_fresh(self.fresh_ms, now_ms, self.lease_ms)
+        return freshness.is_fresh(self.current_as_of_ms, now_ms, self.lease_ms)
 
     def list_confirmations(
         self, now_ms: float
--- a/src/carawayward/controllers/buddies.py
+++ b/src/carawayward/controllers/bill_replicas.py
@@ -32,7 +32,7 @@
 
 
 @attrs.define
-class Buddies:
+class BillReplicas:
     """What peers hold for this node, and what it holds for them.
 
     ``held`` is keyed by owner, a name and an incarnation: a restarted node
--- a/src/carawayward/controllers/billing.py
+++ b/src/carawayward/controllers/billing.py
@@ -5,7 +5,7 @@
 
 from carawayward import blackboard as blackboard_module
 from carawayward import clock as clock_module
-from carawayward.controllers import buddies as buddies_module
+from carawayward.controllers import bill_replicas as replicas_module
 from carawayward import errors
 from carawayward import events
 from carawayward.peers import hub as hub_module
@@ -41,7 +41,7 @@
     board: blackboard_module.Blackboard
     clock: clock_module.Clock
     log: log_module.LogClient
-    buddies: buddies_module.Buddies
+    buddies: replicas_module.BillReplicas
     limit: int
     append_within_ms: int
     skew_ms: int
@@ -68,7 +68,7 @@
             board,
             clock,
             log,
-            buddies_module.Buddies(board, clock, hub, limit),
+            replicas_module.BillReplicas(board, clock, hub, limit),
             limit,
             settings.agreed.log_retention_ms // 2,
             settings.agreed.clock_skew_ms,
@@ -103,7 +103,7 @@
                 events.Event.BILL_NOT_SAFE, bill=billing.encode(bill)
             )
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether another request could be billed.
 
         Refused, not run, is better than run unbilled. Two bounds: memory,
@@ -115,11 +115,11 @@
         return self.reachable or bool(self.buddies.choose())
 
     @property
-    def held(self) -> dict[buddies_module.Owner, dict[Key, billing.Bill]]:
+    def held(self) -> dict[replicas_module.Owner, dict[Key, billing.Bill]]:
         """Copies held here for peers."""
         return self.buddies.held
 
-    async def settle(self, bill: billing.Bill) -> bool:
+    async def make_durable(self, bill: billing.Bill) -> bool:
         """Make a bill survive the loss of this entry VM.
 
         Returns False if that cannot be done in SETTLE_WAIT_MS. The bill
@@ -221,7 +221,7 @@
 
     async def _adopt_orphans(self) -> None:
         while True:
-            await self.clock.sleep(buddies_module.CHECK_INTERVAL_MS)
+            await self.clock.sleep(replicas_module.CHECK_INTERVAL_MS)
             await self.buddies.drop_settled()
             adopted = self.buddies.take_orphans()
             if not adopted:
--- a/src/carawayward/controllers/budgets.py
+++ b/src/carawayward/controllers/budgets.py
@@ -7,7 +7,7 @@
 from carawayward.decisions import exposure
 from carawayward import quality
 
-Accounts = dict[quality.Account, dict[str, exposure.ExposureAccount]]
+Accounts = dict[quality.BudgetKey, dict[str, exposure.ExposureAccount]]
 
 
 def list_rows(accounts: Accounts) -> list[list]:
@@ -22,11 +22,13 @@
 def merge_rows(
     accounts: Accounts,
     rows: typing.Iterable[list],
-    may_take: typing.Callable[[quality.Account, str], bool],
+    may_take: typing.Callable[[quality.BudgetKey, str], bool],
 ) -> None:
     """Take the larger numbers of each account that ``may_take`` accepts."""
     for version, base, failure_domain, origin, spent, earned in rows:
-        account = quality.Account(str(version), int(base), str(failure_domain))
+        account = quality.BudgetKey(
+            str(version), int(base), str(failure_domain)
+        )
         if not may_take(account, str(origin)):
             continue
         known = accounts.setdefault(account, {})
--- a/src/carawayward/controllers/configuration.py
+++ b/src/carawayward/controllers/configuration.py
@@ -104,8 +104,8 @@
         if not state.known:
             return
         if len(batch.records) < READ_MOST:
-            self.board.fresh_ms = freshness.take_read(
-                self.board.fresh_ms, sent_ms
+            self.board.current_as_of_ms = freshness.take_read(
+                self.board.current_as_of_ms, sent_ms
             )
         if state.document is not None:
             await self._put_in_force(state.revision, state.document)
@@ -187,8 +187,8 @@
             await self._take_copy(peer, answer["copy"])
         if answer["age_ms"] is None or self.board.config is None:
             return
-        self.board.fresh_ms = freshness.take_vouch(
-            self.board.fresh_ms,
+        self.board.current_as_of_ms = freshness.take_vouch(
+            self.board.current_as_of_ms,
             asked_ms,
             self.board.config.revision,
             freshness.Vouch(
@@ -200,7 +200,7 @@
     async def _answer_sync(self, peer: str, body: typing.Any) -> dict:
         config = self.board.config
         own = config.revision if config else 0
-        age_ms = self.clock.now_ms() - self.board.fresh_ms
+        age_ms = self.clock.now_ms() - self.board.current_as_of_ms
         answer: dict[str, typing.Any] = {
             "revision": own,
             "age_ms": age_ms if age_ms < self.board.lease_ms else None,
@@ -324,7 +324,7 @@
             before = self._read_clock_gap()
             await self.clock.sleep(WATCH_INTERVAL_MS)
             if self._read_clock_gap() - before > SUSPENDED_MS:
-                self.board.fresh_ms = freshness.NEVER
+                self.board.current_as_of_ms = freshness.NEVER
             now = self.board.is_fresh(self.clock.now_ms())
             if now != fresh and self.board.config is not None:
                 event = events.Event.FRESHNESS_LOST
--- a/src/carawayward/controllers/membership.py
+++ b/src/carawayward/controllers/membership.py
@@ -210,7 +210,7 @@
                 address=member.address,
                 leaving=member.leaving,
                 revision=member.revision,
-                heard_ms=now if linked else heard.risen_ms,
+                last_heard_ms=now if linked else heard.risen_ms,
             )
         for vm in before.values():
             self._keep_untold(shown, vm, now)
@@ -229,6 +229,6 @@
         if linked and (
             current is None or current.incarnation != vm.incarnation
         ):
-            shown[vm.name] = attrs.evolve(vm, heard_ms=now)
-        elif current is None and now - vm.heard_ms < UNTOLD_KEPT_MS:
+            shown[vm.name] = attrs.evolve(vm, last_heard_ms=now)
+        elif current is None and now - vm.last_heard_ms < UNTOLD_KEPT_MS:
             shown[vm.name] = vm
--- a/src/carawayward/controllers/orders.py
+++ b/src/carawayward/controllers/orders.py
@@ -76,7 +76,7 @@
             if config is None or not config.declaration.pools:
                 continue
             await self._ask_store()
-            await self.order_all()
+            await self.send_due_orders()
 
     async def _ask_store(self) -> None:
         if self.weights is None:
@@ -91,7 +91,7 @@
         """Whether this entry VM knows the document in force."""
         return self.board.is_fresh(self.clock.now_ms())
 
-    async def order_all(self) -> None:
+    async def send_due_orders(self) -> None:
         """Order whatever of this entry VM's part is behind."""
         config = self.board.config
         if config is None or not self.may_order():
@@ -116,7 +116,7 @@
                 for endpoint in members:
                     if self._is_mine(endpoint):
                         nursery.start_soon(
-                            self.order_one,
+                            self.order_endpoint,
                             endpoint,
                             order,
                             endpoint.name in chosen,
@@ -151,13 +151,13 @@
             for vm in self.board.entry_vms.values()
             if vm.failure_domain == endpoint.failure_domain
             and not vm.leaving
-            and now - vm.heard_ms < HEARD_WITHIN_MS
+            and now - vm.last_heard_ms < HEARD_WITHIN_MS
         ]
         if here == endpoint.failure_domain:
             names.append(self.board.name)
         return orders.choose_sender(endpoint.name, names) == self.board.name
 
-    async def order_one(
+    async def order_endpoint(
         self,
         endpoint: blackboard_module.Endpoint,
         order: orders.Order,
--- a/src/carawayward/controllers/ratings.py
+++ b/src/carawayward/controllers/ratings.py
@@ -56,7 +56,7 @@
     ratings: ratings_module.RatingsClient | None
     waiting: dict[str, quality.SampledAnswer] = attrs.field(factory=dict)
     offset: int = 1
-    answered_ms: float = float("-inf")
+    last_answered_ms: float = float("-inf")
     usual_delay_ms: float = LOST_MOST_MS / LOST_DELAYS
     _fresh: dict[tuple[MergeKind, evidence_module.Cell], None] = attrs.field(
         factory=dict
@@ -79,7 +79,7 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Begin to send answers, collect ratings and exchange counts."""
-        self.hub.handle("evidence", self.take_cells)
+        self.hub.handle("evidence", self.merge_cells)
         nursery.start_soon(self._exchange)
         if self.ratings is not None:
             nursery.start_soon(self._follow_service, self.ratings)
@@ -96,10 +96,10 @@
             try:
                 await self.send_answers(ratings)
                 await self.collect(ratings)
-                self.answered_ms = self.clock.now_ms()
+                self.last_answered_ms = self.clock.now_ms()
             except errors.PlatformUnavailable:
                 pass
-            self.judge_service()
+            self.update_service_status()
             await self.clock.sleep(INTERVAL_MS)
 
     async def send_answers(
@@ -140,21 +140,21 @@
             answer = self.waiting.pop(rating.answer_id, None)
             if answer is not None:
                 self._learn_delay(answer)
-                self.count(answer, rating.good)
+                self.record_rating(answer, rating.good)
         self.write_off_lost()
 
     def _learn_delay(self, answer: quality.SampledAnswer) -> None:
         """Follow the 95th percentile of how late ratings come."""
-        delay_ms = self.clock.wall_ms() - answer.given_ms
+        delay_ms = self.clock.wall_ms() - answer.answered_at_ms
         late = delay_ms > self.usual_delay_ms
         pull = DELAY_QUANTILE if late else DELAY_QUANTILE - 1
         moved = self.usual_delay_ms * (1 + DELAY_STEP * pull)
         self.usual_delay_ms = max(1_000.0, moved)
 
-    def count(self, answer: quality.SampledAnswer, good: bool) -> None:
+    def record_rating(self, answer: quality.SampledAnswer, good: bool) -> None:
         """Count one rating wherever it says something."""
         part = self.board.quality
-        epoch = answer.given_ms // quality.EPOCH_MS
+        epoch = answer.answered_at_ms // quality.EPOCH_MS
         origin = self.board.incarnation
         cell = part.evidence.add(origin, epoch, answer.key, good)
         self._fresh["plan", cell] = None
@@ -166,10 +166,10 @@
         )
         if trial_key.version not in self.list_tried():
             return
-        epoch = answer.given_ms // quality.TRIAL_EPOCH_MS
+        epoch = answer.answered_at_ms // quality.TRIAL_EPOCH_MS
         cell = part.trial_evidence.add(origin, epoch, trial_key, good)
         self._fresh["trial", cell] = None
-        epoch = answer.given_ms // quality.RECENT_EPOCH_MS
+        epoch = answer.answered_at_ms // quality.RECENT_EPOCH_MS
         cell = part.recent_evidence.add(origin, epoch, trial_key, good)
         self._fresh["recent", cell] = None
         if good:
@@ -192,7 +192,7 @@
         trial = part.find_trial(version)
         if trial is None:
             return
-        accounts = part.accounts.get(trial.account, {})
+        accounts = part.accounts.get(trial.budget_key, {})
         own = accounts.get(self.board.incarnation)
         if own is not None:
             accounts[self.board.incarnation] = exposure.earn(own, answers)
@@ -211,7 +211,7 @@
         lost = [
             answer
             for answer in self.waiting.values()
-            if now - answer.given_ms > patience_ms
+            if now - answer.answered_at_ms > patience_ms
         ]
         for answer in lost:
             del self.waiting[answer.answer_id]
@@ -219,10 +219,10 @@
         while len(self.waiting) > WAITING_MAX:
             del self.waiting[next(iter(self.waiting))]
 
-    def judge_service(self) -> None:
+    def update_service_status(self) -> None:
         """Say when the service falls silent and when it is back."""
         part = self.board.quality
-        silence = self.clock.now_ms() - self.answered_ms
+        silence = self.clock.now_ms() - self.last_answered_ms
         usable = silence < SILENT_AFTER_MS
         if usable != part.ratings_usable:
             kind = events.Event
@@ -235,12 +235,12 @@
     async def _exchange(self) -> None:
         while True:
             await self.clock.sleep(INTERVAL_MS)
-            self.forget()
+            self.evict_expired()
             rows = self.choose_rows()
             if rows:
                 await self.hub.tell_all("evidence", rows)
 
-    def forget(self) -> None:
+    def evict_expired(self) -> None:
         """Drop old counters and the plans that were made from them.
 
         Choosing a plan takes about a millisecond; made anew for each
@@ -306,7 +306,7 @@
                 return part.recent_evidence
         return part.evidence
 
-    async def take_cells(self, peer: str, body: typing.Any) -> None:
+    async def merge_cells(self, peer: str, body: typing.Any) -> None:
         """Merge a peer's counters; what was news here goes on to others."""
         for row in body:
             kind, cell, count = decode_row(row)
--- a/src/carawayward/controllers/rollouts.py
+++ b/src/carawayward/controllers/rollouts.py
@@ -84,7 +84,7 @@
     async def start(self, nursery: trio.Nursery) -> None:
         """Begin to follow the stream and to judge roll-outs."""
         self.begun_ms = self.clock.now_ms()
-        self.hub.handle("rollouts", self.take_state)
+        self.hub.handle("rollouts", self.merge_peer_state)
         nursery.start_soon(self._follow_log)
         nursery.start_soon(self._keep_judging)
 
@@ -103,8 +103,8 @@
         while True:
             await self.clock.sleep(INTERVAL_MS)
             self.refresh()
-            halted = self.judge_all()
-            await self.tell_peers()
+            halted = self.evaluate_all()
+            await self.notify_peers()
             try:
                 await self.append_due(halted)
             except errors.PlatformUnavailable:
@@ -147,7 +147,9 @@
         return quality.Trial(
             declared=declared,
             progress=progress,
-            account=quality.Account(declared.to_version, progress.base, here),
+            budget_key=quality.BudgetKey(
+                declared.to_version, progress.base, here
+            ),
             share=stage.share,
             budget=budget,
             holders=tuple(holders),
@@ -179,13 +181,13 @@
             if failure_domain in ("", vm.failure_domain)
             and vm.name != self.board.name
             and not vm.leaving
-            and now - vm.heard_ms < HEARD_WITHIN_MS
+            and now - vm.last_heard_ms < HEARD_WITHIN_MS
         ]
 
     def _forget_accounts(self) -> None:
         """Drop accounts of past stages and of vanished entry VMs."""
         part, now = self.board.quality, self.clock.now_ms()
-        current = {trial.account for trial in part.trials.values()}
+        current = {trial.budget_key for trial in part.trials.values()}
         for account in set(part.accounts) - current:
             del part.accounts[account]
         live = {vm.incarnation for vm in self.board.entry_vms.values()}
@@ -197,7 +199,7 @@
                 if now - seen > WRITE_OFF_MS:
                     del accounts[origin]
 
-    def judge_all(self) -> list[decisions.Halt]:
+    def evaluate_all(self) -> list[decisions.Halt]:
         """Halt what must be halted; return halts that need the log."""
         for trial in self.board.quality.trials.values():
             if not trial.progress.halted and trial.progress.stage >= 0:
@@ -216,12 +218,12 @@
         config, part = self.board.config, self.board.quality
         assert config is not None
         name = trial.declared.name
-        bad = trial_groups.count(part.trial_evidence, trial).bad
+        bad = trial_groups.count_ratings(part.trial_evidence, trial).bad
         # Only another bad rating can raise the evidence.
         if bad == self._bad_seen.get(name):
             return
         self._bad_seen[name] = bad
-        worst = trial_groups.find_worse(part, trial, config.declaration)
+        worst = trial_groups.find_worse_group(part, trial, config.declaration)
         if worst:
             self.halt(trial, f"worse than its baseline in {worst}")
 
@@ -252,7 +254,7 @@
     def _watch_room(self, trial: quality.Trial) -> None:
         """Say when a budget has been spent for long."""
         name, now = trial.declared.name, self.clock.now_ms()
-        accounts = self.board.quality.accounts.get(trial.account, {})
+        accounts = self.board.quality.accounts.get(trial.budget_key, {})
         spent = sum(each.outstanding for each in accounts.values())
         if spent < trial.budget or trial.done:
             self._starved.pop(name, None)
@@ -307,7 +309,7 @@
         if not trial.open:
             return None
         declared, progress = trial.declared, trial.progress
-        good = trial_groups.count(
+        good = trial_groups.count_ratings(
             self.board.quality.trial_evidence, trial
         ).good
         if not decisions.may_advance(
@@ -346,7 +348,7 @@
         wanted = len(old) * declared.stages[stage].share / 2
         return len(new) >= max(1.0, wanted)
 
-    async def tell_peers(self) -> None:
+    async def notify_peers(self) -> None:
         """Tell all that peers may miss: the fold, halts, accounts."""
         if not self.reader.state.known:
             return
@@ -370,7 +372,7 @@
             "accounts": budgets.list_rows(self.board.quality.accounts),
         }
 
-    def _may_take(self, account: quality.Account, origin: str) -> bool:
+    def _may_take(self, account: quality.BudgetKey, origin: str) -> bool:
         """Whether a peer's copy of an account concerns this entry VM."""
         if account.failure_domain != self.board.failure_domain:
             return False
@@ -378,7 +380,7 @@
         silence = now - self._alive.get(origin, now)
         return origin != self.board.incarnation and silence <= WRITE_OFF_MS
 
-    async def take_state(self, peer: str, body: typing.Any) -> None:
+    async def merge_peer_state(self, peer: str, body: typing.Any) -> None:
         """Merge what a peer knows."""
         for data in body["halts"]:
             self.record_halt(decisions.Halt(**data))
--- a/src/carawayward/controllers/sightings.py
+++ b/src/carawayward/controllers/sightings.py
@@ -170,7 +170,7 @@
             async with trio.open_nursery() as first:
                 for name in self._choose_probed():
                     first.start_soon(self._probe, name)
-            self.board.surveyed = True
+            self.board.endpoints_probed = True
             while True:
                 await self.clock.sleep(PROBE_INTERVAL_MS)
                 for name in self._choose_probed():
--- a/src/carawayward/controllers/suspects.py
+++ b/src/carawayward/controllers/suspects.py
@@ -107,18 +107,18 @@
     def begin_trial(self, fingerprint: str, endpoint: str) -> None:
         """A suspect starts; no other may start on that endpoint."""
         self.on_trial[endpoint] += 1
-        self.begin_judging(fingerprint)
+        self.suspend_runs(fingerprint)
 
     def end_trial(self, fingerprint: str, endpoint: str) -> None:
         """A suspect's run has ended and been judged."""
         self.on_trial[endpoint] -= 1
-        self.end_judging(fingerprint)
+        self.resume_runs(fingerprint)
 
-    def begin_judging(self, fingerprint: str) -> None:
+    def suspend_runs(self, fingerprint: str) -> None:
         """Hold back further runs of a request until more is known."""
         self.judged[fingerprint] += 1
 
-    def end_judging(self, fingerprint: str) -> None:
+    def resume_runs(self, fingerprint: str) -> None:
         """Let the request go on, as a suspect or not."""
         self.judged[fingerprint] -= 1
         if not self.judged[fingerprint]:
--- a/src/carawayward/controllers/trial_groups.py
+++ b/src/carawayward/controllers/trial_groups.py
@@ -6,7 +6,7 @@
 from carawayward import quality
 
 
-def count(
+def count_ratings(
     known: evidence_module.Evidence, trial: quality.Trial
 ) -> evidence_module.Count:
     """Ratings of a new version since its roll-out began."""
@@ -29,8 +29,8 @@
     )
 
 
-def find_worse(
-    part: quality.QualityPart,
+def find_worse_group(
+    part: quality.QualityState,
     trial: quality.Trial,
     declared: declaration_module.Declaration,
 ) -> str:
--- a/src/carawayward/daemon.py
+++ b/src/carawayward/daemon.py
@@ -260,7 +260,7 @@
         # peers are linked, what they hold cannot be asked for. The wait
         # ends, since a refusal with a reason is better than a VM that hangs.
         with trio.move_on_after(SURVEY_WAIT_MS / 1000):
-            while not (self.board.surveyed and self.hub.has_tried()):
+            while not (self.board.endpoints_probed and self.hub.has_tried()):
                 await self.clock.sleep(POLL_MS)
         if self.board.state is blackboard_module.NodeState.STARTING:
             self.board.state = blackboard_module.NodeState.READY
--- a/src/carawayward/gateway/lifecycle.py
+++ b/src/carawayward/gateway/lifecycle.py
@@ -54,7 +54,7 @@
                 "this entry VM is starting; call another",
                 RETRY_AFTER_MS,
             )
-        if not self.bills.has_room():
+        if not self.bills.has_capacity():
             return outcomes.NotRun(
                 outcomes.Reason.NOT_BILLABLE,
                 "bills wait for the platform log; come back later",
@@ -235,7 +235,7 @@
                     band=evidence.find_band(done.end.confidence),
                     escalated=index > 0,
                 ),
-                given_ms=self.clock.wall_ms(),
+                answered_at_ms=self.clock.wall_ms(),
                 messages=request.messages,
                 text=done.text,
             ),
@@ -271,7 +271,7 @@
             made_ms=self.clock.wall_ms(),
         )
         for _ in range(attempts):
-            if await self.bills.settle(bill):
+            if await self.bills.make_durable(bill):
                 return answer
         return outcomes.Interrupted(
             outcomes.Reason.NOT_BILLABLE,
--- a/src/carawayward/gateway/planning.py
+++ b/src/carawayward/gateway/planning.py
@@ -100,7 +100,7 @@
     board: blackboard_module.Blackboard, trial: quality.Trial
 ) -> float:
     """How many answers of a roll-out's new version may still be given here."""
-    accounts = board.quality.accounts.get(trial.account, {})
+    accounts = board.quality.accounts.get(trial.budget_key, {})
     return exposure.compute_remaining_budget(
         trial.budget,
         accounts,
@@ -114,7 +114,7 @@
     board: blackboard_module.Blackboard, trial: quality.Trial, answers: int
 ) -> None:
     """Charge a roll-out's budget for answers before they are given."""
-    accounts = board.quality.accounts.setdefault(trial.account, {})
+    accounts = board.quality.accounts.setdefault(trial.budget_key, {})
     own_account = accounts.get(board.incarnation, exposure.ExposureAccount())
     accounts[board.incarnation] = exposure.spend(own_account, answers)
 
@@ -147,12 +147,12 @@
                 spend(board, trial, 1)
     declared = cascade.make_plan(task, config.models, allowed, pins)
     steps = _choose_steps(board, customer, task, request_key, declared)
-    steps = cascade.fit_deadline(steps, part.usual_ms, left_ms)
+    steps = cascade.fit_deadline(steps, part.estimated_ms, left_ms)
     return Plan(steps=steps, charged_versions=charged_versions)
 
 
 def _list_rollout_versions(
-    part: quality.QualityPart, versions: typing.Iterable[str]
+    part: quality.QualityState, versions: typing.Iterable[str]
 ) -> frozenset[str]:
     return frozenset(v for v in versions if part.find_trial(v) is not None)
 
@@ -226,10 +226,10 @@
     """
     part = board.quality
     version = sample.key.version
-    estimate_ms = part.usual_ms.get(version, took_ms)
+    estimate_ms = part.estimated_ms.get(version, took_ms)
     above = took_ms > estimate_ms
     direction = PERCENTILE if above else PERCENTILE - 1
-    part.usual_ms[version] = max(
+    part.estimated_ms[version] = max(
         1.0, estimate_ms * (1 + PERCENTILE_STEP * direction)
     )
     in_rollout = part.find_trial(version) is not None
@@ -237,7 +237,7 @@
     if in_rollout or sampled:
         generation = part.find_generation(version)
         key = attrs.evolve(sample.key, generation=generation)
-        part.put(attrs.evolve(sample, key=key))
+        part.queue_sample(attrs.evolve(sample, key=key))
 
 
 def release(
@@ -248,7 +248,7 @@
         trial = board.quality.find_trial(version)
         if trial is None:
             continue
-        accounts = board.quality.accounts.get(trial.account, {})
+        accounts = board.quality.accounts.get(trial.budget_key, {})
         own_account = accounts.get(
             board.incarnation, exposure.ExposureAccount()
         )
--- a/src/carawayward/gateway/running.py
+++ b/src/carawayward/gateway/running.py
@@ -286,7 +286,7 @@
         self._record_endpoint_fault(step.queue, view, fault)
         if not fault.sent or fault.silent or fault.status is not None:
             return
-        self.suspects.begin_judging(step.fingerprint)
+        self.suspects.suspend_runs(step.fingerprint)
         try:
             if await self._has_crashed(view):
                 events.log_event(
@@ -297,7 +297,7 @@
                     step.fingerprint, view.name, step.request.request_key
                 )
         finally:
-            self.suspects.end_judging(step.fingerprint)
+            self.suspects.resume_runs(step.fingerprint)
 
     async def _has_crashed(self, view: placement.EndpointView) -> bool:
         endpoint = self.board.endpoints.get(view.name)
--- a/src/carawayward/peers/hub.py
+++ b/src/carawayward/peers/hub.py
@@ -274,7 +274,7 @@
             **attrs.asdict(identity),
             leaving=known.leaving if known and same else False,
             revision=known.revision if known and same else 0,
-            heard_ms=self.clock.now_ms(),
+            last_heard_ms=self.clock.now_ms(),
         )
 
     async def _serve(
--- a/src/carawayward/quality.py
+++ b/src/carawayward/quality.py
@@ -31,7 +31,7 @@
 
     answer_id: str
     key: evidence_module.Key
-    given_ms: int
+    answered_at_ms: int
     messages: list[dict]
     text: str
 
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class Account:
+class BudgetKey:
     """Whose budget: one roll-out's stage in one failure domain.
 
     ``base`` is the log offset of the record that began the stage, so each
@@ -66,7 +66,7 @@
 
     declared: rollout_declaration.Rollout
     progress: rollout_decisions.Progress
-    account: Account
+    budget_key: BudgetKey
     share: float
     budget: int
     holders: tuple[str, ...]
@@ -80,7 +80,7 @@
 
 
 @attrs.define
-class QualityPart:
+class QualityState:
     """What this entry VM knows of versions' quality; plain state."""
 
     evidence: evidence_module.Evidence = attrs.field(
@@ -96,18 +96,18 @@
         factory=lambda: collections.deque(maxlen=OUTBOX_MAX)
     )
     ratings_usable: bool = False
-    usual_ms: dict[str, float] = attrs.field(factory=dict)
+    estimated_ms: dict[str, float] = attrs.field(factory=dict)
     plans: dict[tuple[str, ...], list[cascade.Step]] = attrs.field(
         factory=dict
     )
-    accounts: dict[Account, dict[str, exposure.ExposureAccount]] = attrs.field(
-        factory=dict
+    accounts: dict[BudgetKey, dict[str, exposure.ExposureAccount]] = (
+        attrs.field(factory=dict)
     )
     trials: dict[str, Trial] = attrs.field(factory=dict)
     halted: frozenset[str] = frozenset()
     halted_settled: frozenset[str] = frozenset()
 
-    def put(self, sample: SampledAnswer) -> None:
+    def queue_sample(self, sample: SampledAnswer) -> None:
         """Queue an answer for the ratings service, within the bounds."""
         self.outbox.append(sample)
         held = sum(each.size for each in self.outbox)
--- a/src/carawayward/status.py
+++ b/src/carawayward/status.py
@@ -96,7 +96,7 @@
                 "failure_domain": vm.failure_domain,
                 "leaving": vm.leaving,
                 "revision": vm.revision,
-                "heard_age_ms": round(now_ms - vm.heard_ms),
+                "heard_age_ms": round(now_ms - vm.last_heard_ms),
             }
             for vm in sorted(board.entry_vms.values(), key=lambda v: v.name)
         ],
--- a/tests/common/peering.py
+++ b/tests/common/peering.py
@@ -68,7 +68,7 @@
 
 
 @attrs.define(eq=False)
-class Wire:
+class TcpProxy:
     """Forwards connections to a port; ``silent`` drops what they carry.
 
     Only connections that stand at that time go silent: new ones work.
@@ -84,7 +84,7 @@
         with self.scope:
             await trio.serve_tcp(self._forward, self.port, host="127.0.0.1")
 
-    def silence(self) -> None:
+    def stall(self) -> None:
         """Make all standing connections silent for good."""
         self.generation += 1
 
--- a/tests/common/platform_fakes.py
+++ b/tests/common/platform_fakes.py
@@ -14,14 +14,14 @@
 from carawayward.services import ratings as ratings_module
 
 
-def draw(*parts: object) -> float:
+def hash_fraction(*parts: object) -> float:
     """A number between 0 and 1 that depends on its arguments alone."""
     text = " ".join(map(str, parts)).encode()
     return int.from_bytes(hashlib.sha256(text).digest()[:7]) / 2.0**56
 
 
 @attrs.define
-class MemoryLog:
+class FakeLog:
     """The platform's log; ``cut`` names callers that cannot reach it."""
 
     clock: clock_module.ManualClock
@@ -57,7 +57,7 @@
 
 
 @attrs.define
-class MemoryRatings:
+class FakeRatings:
     """The ratings service; faults as of the stand-in."""
 
     clock: clock_module.ManualClock
@@ -74,7 +74,7 @@
         due = self.clock.now_ms() + self.delay_ms
         box = self.boxes.setdefault(mailbox, [])
         for answer in answers:
-            if draw(answer["id"], "lose") >= self.lose:
+            if hash_fraction(answer["id"], "lose") >= self.lose:
                 box.append((due, answer["id"], self.judge(answer)))
 
     async def collect(
@@ -92,7 +92,7 @@
 
 
 @attrs.define
-class MemoryHub:
+class FakeHub:
     """Links to a few peers; messages arrive at the end of the tick."""
 
     name: str
--- a/tests/common/quality_rig.py
+++ b/tests/common/quality_rig.py
@@ -29,7 +29,7 @@
     """One entry VM."""
 
     board: blackboard.Blackboard
-    hub: platform_fakes.MemoryHub
+    hub: platform_fakes.FakeHub
     ratings: ratings_controller.RatingsController
     rollouts: rollouts.RolloutsController
     alive: bool = True
@@ -49,14 +49,14 @@
 
     document: dict
     clock: clock_module.ManualClock
-    log: platform_fakes.MemoryLog
-    service: platform_fakes.MemoryRatings
+    log: platform_fakes.FakeLog
+    service: platform_fakes.FakeRatings
     nodes: list[Node] = attrs.field(factory=list)
     queue: list[tuple[str, str, str, typing.Any]] = attrs.field(factory=list)
-    cut: set[frozenset[str]] = attrs.field(factory=set)
-    cut_from_log: set[str] = attrs.field(factory=set)
-    numbers: int = 0
-    exposed: dict[str, int] = attrs.field(factory=dict)
+    partitions: set[frozenset[str]] = attrs.field(factory=set)
+    nodes_without_log: set[str] = attrs.field(factory=set)
+    request_count: int = 0
+    answers_by_version: dict[str, int] = attrs.field(factory=dict)
 
     @classmethod
     def from_config(
@@ -71,8 +71,8 @@
         rig = cls(
             document=document,
             clock=clock,
-            log=platform_fakes.MemoryLog(clock),
-            service=platform_fakes.MemoryRatings(clock, judge),
+            log=platform_fakes.FakeLog(clock),
+            service=platform_fakes.FakeRatings(clock, judge),
         )
         for number in range(count):
             rig.add_node(f"vm-{number}", domains[number % len(domains)], count)
@@ -89,9 +89,7 @@
             for step in list(steps)[:LINKS]
             for sign in (1, -1)
         }
-        hub = platform_fakes.MemoryHub(
-            name, sorted(peers - {name}), self.queue
-        )
+        hub = platform_fakes.FakeHub(name, sorted(peers - {name}), self.queue)
         clock: typing.Any = self.clock
         links: typing.Any = hub
         reader = rollout_reader.RolloutReader(
@@ -103,8 +101,8 @@
             ratings_controller.RatingsController(board, clock, links, None),
             rollouts.RolloutsController(board, clock, links, reader),
         )
-        hub.handle("evidence", node.ratings.take_cells)
-        hub.handle("rollouts", node.rollouts.take_state)
+        hub.handle("evidence", node.ratings.merge_cells)
+        hub.handle("rollouts", node.rollouts.merge_peer_state)
         self.nodes.append(node)
         return node
 
@@ -150,14 +148,14 @@
         pair = frozenset(
             {node.board.failure_domain, peer.board.failure_domain}
         )
-        if node is peer or pair in self.cut:
+        if node is peer or pair in self.partitions:
             return
         node.board.entry_vms[peer.name] = blackboard.EntryVm(
             name=peer.name,
             incarnation=peer.board.incarnation,
             failure_domain=peer.board.failure_domain,
             address="",
-            heard_ms=self.clock.now_ms(),
+            last_heard_ms=self.clock.now_ms(),
         )
 
     async def _run_node(self, node: Node) -> None:
@@ -165,25 +163,25 @@
         try:
             await node.ratings.send_answers(service)
             await node.ratings.collect(service)
-            node.ratings.answered_ms = self.clock.now_ms()
+            node.ratings.last_answered_ms = self.clock.now_ms()
         except errors.PlatformUnavailable:
             pass
-        node.ratings.judge_service()
-        node.ratings.forget()
+        node.ratings.update_service_status()
+        node.ratings.evict_expired()
         rows = node.ratings.choose_rows()
         if rows:
             await node.hub.tell_all("evidence", rows)
         controller = node.rollouts
-        reachable = node.name not in self.cut_from_log
+        reachable = node.name not in self.nodes_without_log
         try:
             if reachable:
                 await controller.reader.read_once(0)
-                node.board.fresh_ms = self.clock.now_ms()
+                node.board.current_as_of_ms = self.clock.now_ms()
         except errors.PlatformUnavailable:
             pass
         controller.refresh()
-        halts = controller.judge_all()
-        await controller.tell_peers()
+        halts = controller.evaluate_all()
+        await controller.notify_peers()
         try:
             if reachable:
                 await controller.append_due(halts)
@@ -201,10 +199,10 @@
             pair = frozenset(
                 {source.board.failure_domain, target.board.failure_domain}
             )
-            if pair not in self.cut:
+            if pair not in self.partitions:
                 await target.hub.handlers[kind](sender, body)
 
-    def ask(
+    def send_request(
         self,
         node: Node,
         customer: str,
@@ -214,8 +212,8 @@
         """Answer one request at once; return the version that answered."""
         config = node.board.config
         assert config is not None
-        self.numbers += 1
-        key = f"r{self.numbers}"
+        self.request_count += 1
+        key = f"r{self.request_count}"
         declared = config.tasks[task]
         plan = planning.choose_plan(
             node.board,
@@ -231,13 +229,15 @@
         ):
             return ""
         version = plan.steps[0].version
-        self.exposed[version] = self.exposed.get(version, 0) + 1
+        self.answers_by_version[version] = (
+            self.answers_by_version.get(version, 0) + 1
+        )
         planning.record_answer(
             node.board,
             quality.SampledAnswer(
                 answer_id=key,
                 key=evidence.Key(customer, task, version),
-                given_ms=self.clock.wall_ms(),
+                answered_at_ms=self.clock.wall_ms(),
                 messages=[],
                 text="",
             ),
@@ -251,9 +251,9 @@
         """Open a session and return its pins."""
         config = node.board.config
         assert config is not None
-        self.numbers += 1
+        self.request_count += 1
         return planning.choose_pins(
-            node.board, config.customers[customer], f"s{self.numbers}"
+            node.board, config.customers[customer], f"s{self.request_count}"
         )
 
     def progress(self, name: str, node: int = 0) -> rollout.Progress:
--- a/tests/common/unguarded.py
+++ b/tests/common/unguarded.py
@@ -82,7 +82,7 @@
     "recheck": replace(
         dispatch.Dispatcher, "_recheck", lambda self, step: None
     ),
-    "settle": replace(billing.BillingController, "settle", keep_bill),
+    "settle": replace(billing.BillingController, "make_durable", keep_bill),
     "doubt": replace(requests, "may_be_resend", lambda request: False),
     "stop": replace(stopping.PlannedStop, "run", return_at_once),
 }
--- a/tests/cover/test_orders.py
+++ b/tests/cover/test_orders.py
@@ -149,7 +149,7 @@
     document = quality_rig.make_document(STAGES)
     rig = quality_rig.Rig.from_config(document, ["hall-a"], 1, lambda _: True)
     board = rig.nodes[0].board
-    board.fresh_ms = 0.0
+    board.current_as_of_ms = 0.0
     client = PausedClient(lambda: meanwhile(rig))
     clock: typing.Any = rig.clock
     controller = orders_controller.OrdersController(
@@ -158,7 +158,7 @@
     assert board.config is not None
     order = attrs.evolve(ORDER, fencing=board.config.revision)
     endpoint = next(iter(board.endpoints.values()))
-    trio.run(controller.order_one, endpoint, order, True, False)
+    trio.run(controller.order_endpoint, endpoint, order, True, False)
     return client.sent
 
 
--- a/tests/cover/test_planning.py
+++ b/tests/cover/test_planning.py
@@ -30,7 +30,7 @@
     board.quality.ratings_usable = False
     declared = choose(board, customer, task, "r1", {}, 1e9).steps
     assert [step.version for step in declared] == ["cheap", "strong"]
-    board.quality.usual_ms = {"cheap": 400.0, "strong": 900.0}
+    board.quality.estimated_ms = {"cheap": 400.0, "strong": 900.0}
     under_short_deadline = choose(
         board, customer, task, "r1", {}, 1_200.0
     ).steps
@@ -42,13 +42,13 @@
 
     Long conversations are large, so the queue's size must be bounded.
     """
-    part = quality.QualityPart()
+    part = quality.QualityState()
     for number in range(100):
-        part.put(
+        part.queue_sample(
             quality.SampledAnswer(
                 answer_id=str(number),
                 key=evidence.Key("c", "t", "cheap"),
-                given_ms=0,
+                answered_at_ms=0,
                 messages=[{"role": "user", "content": "x" * 900_000}],
                 text="",
             )
--- a/tests/failures/test_path_peers.py
+++ b/tests/failures/test_path_peers.py
@@ -176,14 +176,14 @@
         ports = sorted(loopback.find_free_ports(3))
         one = peering.make_hub("one", ports[0], [ports[2]])
         two = peering.make_hub("two", ports[1])
-        wire = peering.Wire(ports[1], ports[2])
+        wire = peering.TcpProxy(ports[1], ports[2])
         nursery.start_soon(wire.run)
         await one.start(nursery)
         await two.start(nursery)
         await peering.wait_until(lambda: "two" in one.links)
         await peering.wait_until(lambda: "one" in two.links)
         first = one.links["two"], two.links["one"]
-        wire.silence()
+        wire.stall()
         # Several times what an idle machine needs; the tight bound is the
         # link's own business and no verdict for a busy machine.
         bound_s = 4 * (link_module.SILENCE_S + link_module.HEARTBEAT_S)
--- a/tests/failures/test_path_silence.py
+++ b/tests/failures/test_path_silence.py
@@ -42,7 +42,9 @@
 
 
 def run_over_wire(
-    scenario: typing.Callable[[Service, peering.Wire], typing.Awaitable[None]],
+    scenario: typing.Callable[
+        [Service, peering.TcpProxy], typing.Awaitable[None]
+    ],
 ) -> None:
     """Run a scenario against a service behind a proxy that can go silent."""
 
@@ -59,7 +61,7 @@
         config = listening.make_config(
             f"127.0.0.1:{port}", settings.Limits(), None, 100
         )
-        wire = peering.Wire(port, wire_port)
+        wire = peering.TcpProxy(port, wire_port)
         with trio.fail_after(60):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(
@@ -79,7 +81,7 @@
 def check_call_after_silence(operation: str, repeatable: bool) -> None:
     """Check that a call arrives although the idle connection is silent."""
 
-    async def scenario(service: Service, wire: peering.Wire) -> None:
+    async def scenario(service: Service, wire: peering.TcpProxy) -> None:
         client = endpoints.EndpointClient(SILENCE_LIMITS, 10_000)
         service_endpoint = blackboard.Endpoint(
             name="desk",
@@ -88,7 +90,7 @@
             address=f"127.0.0.1:{wire.port}",
         )
         await client.call_service(service_endpoint, "look-up", {}, True)
-        wire.silence()
+        wire.stall()
         with trio.fail_after(5):
             await client.call_service(
                 service_endpoint, operation, {}, repeatable
@@ -127,12 +129,12 @@
     and the platform would appear down although it is back.
     """
 
-    async def scenario(service: Service, wire: peering.Wire) -> None:
+    async def scenario(service: Service, wire: peering.TcpProxy) -> None:
         client = http.PlatformClient("log", f"http://127.0.0.1:{wire.port}")
         async with trio.open_nursery() as nursery:
             for _ in range(4):
                 nursery.start_soon(client.call, "GET", "/")
-        wire.silence()
+        wire.stall()
         failures = 0
         for _ in range(2):
             try:
@@ -153,7 +155,7 @@
     and keep running a version that has been withdrawn.
     """
 
-    async def scenario(service: Service, wire: peering.Wire) -> None:
+    async def scenario(service: Service, wire: peering.TcpProxy) -> None:
         log = log_module.LogClient.from_config(f"http://127.0.0.1:{wire.port}")
         with trio.fail_after(20):
             try:
--- a/tests/failures/test_quality_rollouts.py
+++ b/tests/failures/test_quality_rollouts.py
@@ -58,10 +58,10 @@
     for _ in range(seconds):
         live = [node for node in rig.nodes if node.alive]
         for number in range(rate):
-            node = live[(rig.numbers + number) % len(live)]
-            customer = ("delta-hosts", "oak-stage")[rig.numbers % 3 == 0]
-            task = ("stage-note", "route-narrative")[rig.numbers % 2]
-            rig.ask(node, customer, task)
+            node = live[(rig.request_count + number) % len(live)]
+            customer = ("delta-hosts", "oak-stage")[rig.request_count % 3 == 0]
+            task = ("stage-note", "route-narrative")[rig.request_count % 2]
+            rig.send_request(node, customer, task)
         await rig.tick()
         if until():
             return True
@@ -70,7 +70,7 @@
 
 def is_good(answer: dict, share: float = 0.96) -> bool:
     """Rate an answer that is good with the given chance."""
-    return platform_fakes.draw(answer["id"], "good") < share
+    return platform_fakes.hash_fraction(answer["id"], "good") < share
 
 
 def halted_everywhere(rig: quality_rig.Rig) -> bool:
@@ -109,7 +109,10 @@
 
     async def steps(rig: quality_rig.Rig) -> None:
         assert await serve(rig, 1_500, in_stage(rig, 3))
-        assert rig.ask(rig.nodes[4], "oak-stage", "stage-note") == "scribe-8"
+        assert (
+            rig.send_request(rig.nodes[4], "oak-stage", "stage-note")
+            == "scribe-8"
+        )
 
     rig = run(is_good, steps)
     assert [item["stage"] for item in list_advances(rig)] == [0, 1, 2, 3]
@@ -126,14 +129,19 @@
     async def steps(rig: quality_rig.Rig) -> None:
         assert await serve(rig, 1_500, in_stage(rig, stage))
         state["bad"] = True
-        rig.exposed.clear()
+        rig.answers_by_version.clear()
         assert await serve(rig, limit, lambda: halted_everywhere(rig))
-        assert rig.exposed.get("scribe-8", 0) <= most, rig.exposed
+        assert rig.answers_by_version.get("scribe-8", 0) <= most, (
+            rig.answers_by_version
+        )
         await serve(rig, 5)
-        before = rig.exposed.get("scribe-8", 0)
+        before = rig.answers_by_version.get("scribe-8", 0)
         await serve(rig, 30)
-        assert rig.exposed.get("scribe-8", 0) == before
-        assert rig.ask(rig.nodes[1], "oak-stage", "stage-note") == "scribe-7"
+        assert rig.answers_by_version.get("scribe-8", 0) == before
+        assert (
+            rig.send_request(rig.nodes[1], "oak-stage", "stage-note")
+            == "scribe-7"
+        )
 
     run(judge, steps)
 
@@ -228,7 +236,7 @@
         assert await serve(rig, 600, lambda: halted_everywhere(rig))
 
     rig = run(lambda a: a["version"] == "scribe-7" and is_good(a), steps)
-    assert rig.exposed["scribe-8"] <= len(DOMAINS) * BUDGET
+    assert rig.answers_by_version["scribe-8"] <= len(DOMAINS) * BUDGET
 
 
 def test_roll_out_goes_on_when_a_third_of_ratings_is_lost():
@@ -250,7 +258,7 @@
     async def steps(rig: quality_rig.Rig) -> None:
         rig.service.down = True
         await serve(rig, 300)
-        assert rig.exposed["scribe-8"] <= len(DOMAINS) * BUDGET
+        assert rig.answers_by_version["scribe-8"] <= len(DOMAINS) * BUDGET
         assert rig.progress("scribe-8").stage == 0
         assert not rig.nodes[0].board.quality.ratings_usable
         rig.service.down = False
@@ -301,7 +309,7 @@
     async def steps(rig: quality_rig.Rig) -> None:
         lost = [n for n in rig.nodes if n.board.failure_domain == "hall-c"]
         await serve(rig, 5)
-        rig.cut_from_log |= {node.name for node in lost}
+        rig.nodes_without_log |= {node.name for node in lost}
         assert await serve(rig, 300, lambda: halted_everywhere(rig))
         assert "scribe-8" in lost[0].board.quality.halted
 
@@ -318,8 +326,10 @@
     async def steps(rig: quality_rig.Rig) -> None:
         await serve(rig, 10)
         cut = [n for n in rig.nodes if n.board.failure_domain == "hall-c"]
-        rig.cut_from_log |= {node.name for node in cut}
-        rig.cut |= {frozenset({"hall-c", d}) for d in ("hall-a", "hall-b")}
+        rig.nodes_without_log |= {node.name for node in cut}
+        rig.partitions |= {
+            frozenset({"hall-c", d}) for d in ("hall-a", "hall-b")
+        }
         for _ in range(20):
             await rig.tick()
         for _ in range(300):
@@ -349,7 +359,7 @@
             if pins["scribe"] == "scribe-8":
                 break
         assert pins["scribe"] == "scribe-8"
-        ask = rig.ask
+        ask = rig.send_request
         for node in rig.nodes:
             assert ask(node, "oak-stage", "stage-note", pins) == "scribe-8"
         state["bad"] = True
