--- a/bench/quality_cost.py
+++ b/bench/quality_cost.py
@@ -168,7 +168,7 @@
                 good = ask.cheap_good if cheap else ask.strong_good
                 late.append((sample, good))
         while len(late) > 20:
-            node.ratings.record_rating(*late.pop(0))
+            node.ratings.count(*late.pop(0))
     return done
 
 
--- a/src/carawayward/console/overview.py
+++ b/src/carawayward/console/overview.py
@@ -59,7 +59,7 @@
     board: blackboard_module.Blackboard, trial: quality.Trial
 ) -> dict[str, typing.Any]:
     """One roll-out: its stage, its ratings, its budget."""
-    counts = trial_groups.count_ratings(board.quality.trial_evidence, trial)
+    counts = trial_groups.count(board.quality.trial_evidence, trial)
     accounts = board.quality.accounts.get(trial.budget_key, {})
     outstanding = sum(each.outstanding for each in accounts.values())
     stage = trial.progress.stage
--- a/src/carawayward/controllers/ratings.py
+++ b/src/carawayward/controllers/ratings.py
@@ -140,7 +140,7 @@
             answer = self.waiting.pop(rating.answer_id, None)
             if answer is not None:
                 self._learn_delay(answer)
-                self.record_rating(answer, rating.good)
+                self.count(answer, rating.good)
         self.write_off_lost()
 
     def _learn_delay(self, answer: quality.SampledAnswer) -> None:
@@ -151,7 +151,7 @@
         moved = self.usual_delay_ms * (1 + DELAY_STEP * pull)
         self.usual_delay_ms = max(1_000.0, moved)
 
-    def record_rating(self, answer: quality.SampledAnswer, good: bool) -> None:
+    def count(self, answer: quality.SampledAnswer, good: bool) -> None:
         """Count one rating wherever it says something."""
         part = self.board.quality
         epoch = answer.answered_at_ms // quality.EPOCH_MS
--- a/src/carawayward/controllers/rollouts.py
+++ b/src/carawayward/controllers/rollouts.py
@@ -218,7 +218,7 @@
         config, part = self.board.config, self.board.quality
         assert config is not None
         name = trial.declared.name
-        bad = trial_groups.count_ratings(part.trial_evidence, trial).bad
+        bad = trial_groups.count(part.trial_evidence, trial).bad
         # Only another bad rating can raise the evidence.
         if bad == self._bad_seen.get(name):
             return
@@ -309,7 +309,7 @@
         if not trial.open:
             return None
         declared, progress = trial.declared, trial.progress
-        good = trial_groups.count_ratings(
+        good = trial_groups.count(
             self.board.quality.trial_evidence, trial
         ).good
         if not decisions.may_advance(
--- a/src/carawayward/controllers/trial_groups.py
+++ b/src/carawayward/controllers/trial_groups.py
@@ -6,7 +6,7 @@
 from carawayward import quality
 
 
-def count_ratings(
+def count(
     known: evidence_module.Evidence, trial: quality.Trial
 ) -> evidence_module.Count:
     """Ratings of a new version since its roll-out began."""
--- a/tests/common/quality_rig.py
+++ b/tests/common/quality_rig.py
@@ -53,7 +53,7 @@
     service: platform_fakes.FakeRatings
     nodes: list[Node] = attrs.field(factory=list)
     queue: list[tuple[str, str, str, typing.Any]] = attrs.field(factory=list)
-    partitions: set[frozenset[str]] = attrs.field(factory=set)
+    cut: set[frozenset[str]] = attrs.field(factory=set)
     nodes_without_log: set[str] = attrs.field(factory=set)
     request_count: int = 0
     answers_by_version: dict[str, int] = attrs.field(factory=dict)
@@ -148,7 +148,7 @@
         pair = frozenset(
             {node.board.failure_domain, peer.board.failure_domain}
         )
-        if node is peer or pair in self.partitions:
+        if node is peer or pair in self.cut:
             return
         node.board.entry_vms[peer.name] = blackboard.EntryVm(
             name=peer.name,
@@ -199,7 +199,7 @@
             pair = frozenset(
                 {source.board.failure_domain, target.board.failure_domain}
             )
-            if pair not in self.partitions:
+            if pair not in self.cut:
                 await target.hub.handlers[kind](sender, body)
 
     def send_request(
--- a/tests/failures/test_quality_rollouts.py
+++ b/tests/failures/test_quality_rollouts.py
@@ -327,9 +327,7 @@
         await serve(rig, 10)
         cut = [n for n in rig.nodes if n.board.failure_domain == "hall-c"]
         rig.nodes_without_log |= {node.name for node in cut}
-        rig.partitions |= {
-            frozenset({"hall-c", d}) for d in ("hall-a", "hall-b")
-        }
+        rig.cut |= {frozenset({"hall-c", d}) for d in ("hall-a", "hall-b")}
         for _ in range(20):
             await rig.tick()
         for _ in range(300):
