--- a/src/carawayward/blackboard.py
+++ b/src/carawayward/blackboard.py
@@ -1,8 +1,8 @@
-"""What this entry VM believes.
+"""The state shared by the tasks of one entry VM's daemon.
 
-Controllers write their own part and read the others'; decisions read. Trio
-runs one task at a time between awaits, so a part that is replaced in one
-assignment is always seen whole.
+Each controller writes its own part and reads the others'; decision functions
+only read. Trio switches tasks only at awaits, so a part that is replaced in
+one assignment is never seen half updated.
 """
 
 import enum
@@ -16,7 +16,7 @@
 
 
 class NodeState(enum.StrEnum):
-    """Where this entry VM is in its life."""
+    """Life-cycle state of this entry VM."""
 
     STARTING = "starting"
     READY = "ready"
@@ -25,7 +25,7 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigInForce:
-    """A configuration and where it stands in the log."""
+    """A configuration and its revision, indexed for look-ups."""
 
     revision: int
     document: dict
@@ -64,7 +64,11 @@
 
 @attrs.frozen(kw_only=True)
 class EntryVm:
-    """What is known of another entry VM."""
+    """What is known about another entry VM.
+
+    ``last_heard_ms`` is the local monotonic time at which it was last known to
+    be alive.
+    """
 
     name: str
     incarnation: str
@@ -77,7 +81,7 @@
 
 @attrs.frozen(kw_only=True)
 class Endpoint:
-    """What is known of an endpoint: a model engine or a plain service."""
+    """What is known about an endpoint: a model engine or a plain service."""
 
     name: str
     pool: str
@@ -91,7 +95,14 @@
 
 @attrs.define(kw_only=True)
 class Blackboard:
-    """The shared state of one daemon."""
+    """The shared state of one daemon.
+
+    ``current_as_of_ms`` is the local monotonic time up to which the
+    configuration is known to be the newest. ``heirs`` maps a ticket issuer, a
+    name and an incarnation, to the entry VM that has taken over its tickets;
+    ``heir_of`` lists the issuers that this entry VM has taken over.
+    ``endpoints_probed`` becomes True after the first round of probes.
+    """
 
     name: str
     failure_domain: str
@@ -113,16 +124,16 @@
     )
 
     def is_fresh(self, now_ms: float) -> bool:
-        """Whether a proof that the configuration is current is young.
+        """Whether the configuration is known to have been current recently.
 
-        Without one, roll-outs count as frozen; see protocol/freshness.
+        If not, roll-outs count as frozen; see protocol/freshness.
         """
         return freshness.is_fresh(self.current_as_of_ms, now_ms, self.lease_ms)
 
     def list_confirmations(
         self, now_ms: float
     ) -> dict[str, freshness.Confirmation]:
-        """Where each known entry VM stands with the revision in force."""
+        """Whether each known entry VM has the revision in force."""
         if self.config is None:
             return {}
         revisions = {vm.name: vm.revision for vm in self.entry_vms.values()}
--- a/src/carawayward/controllers/__init__.py
+++ b/src/carawayward/controllers/__init__.py
@@ -1,1 +1,1 @@
-"""Controllers: each ties one part of the blackboard to the outside."""
+"""Controllers: each connects one part of the blackboard to the outside."""
--- a/src/carawayward/controllers/budgets.py
+++ b/src/carawayward/controllers/budgets.py
@@ -1,4 +1,4 @@
-"""Accounts of exposure budgets as peers tell them to each other."""
+"""Encoding and merging of the exposure accounts that peers exchange."""
 
 import typing
 
@@ -10,29 +10,34 @@
 Accounts = dict[quality.BudgetKey, dict[str, exposure.ExposureAccount]]
 
 
-def list_rows(accounts: Accounts) -> list[list]:
-    """Every account that this entry VM knows."""
+def encode_accounts(accounts: Accounts) -> list[list]:
+    """Encode every known account for a message to peers."""
     return [
-        [*attrs.astuple(account), origin, spent.spent, spent.earned]
-        for account, by_origin in accounts.items()
-        for origin, spent in by_origin.items()
+        [
+            *attrs.astuple(budget_key),
+            origin,
+            account_state.spent,
+            account_state.earned,
+        ]
+        for budget_key, by_origin in accounts.items()
+        for origin, account_state in by_origin.items()
     ]
 
 
-def merge_rows(
+def merge_accounts(
     accounts: Accounts,
     rows: typing.Iterable[list],
-    may_take: typing.Callable[[quality.BudgetKey, str], bool],
+    accepts: typing.Callable[[quality.BudgetKey, str], bool],
 ) -> None:
-    """Take the larger numbers of each account that ``may_take`` accepts."""
-    for version, base, failure_domain, origin, spent, earned in rows:
-        account = quality.BudgetKey(
+    """Merge the accounts that ``accepts`` admits; the larger numbers win."""
+    for version, base, failure_domain, origin, account_state, earned in rows:
+        budget_key = quality.BudgetKey(
             str(version), int(base), str(failure_domain)
         )
-        if not may_take(account, str(origin)):
+        if not accepts(budget_key, str(origin)):
             continue
-        known = accounts.setdefault(account, {})
+        known = accounts.setdefault(budget_key, {})
         known[str(origin)] = exposure.merge_accounts(
             known.get(str(origin), exposure.ExposureAccount()),
-            exposure.ExposureAccount(float(spent), float(earned)),
+            exposure.ExposureAccount(float(account_state), float(earned)),
         )
--- a/src/carawayward/controllers/configuration.py
+++ b/src/carawayward/controllers/configuration.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration in force: from the log and from peers."""
+"""Keeps the newest configuration in force, from the log and from peers."""
 
 import random
 import typing
@@ -18,29 +18,32 @@
 from carawayward.services import log as log_module
 
 STREAM = config_log.STREAM
-# Kept under their first names for the tools that call them here.
+# Re-exported for the modules that call them here.
 publish = publishing.publish
 read_state = publishing.read_state
 RETRY_MS = 500.0
-READ_MOST = 500
+MAX_READ_RECORDS = 500
 SNAPSHOT_CHECK_MS = 1_000.0
 SYNC_TIMEOUT_MS = 1_000.0
-# While the log answers, news of a peer waits this long for the log's own
-# copy, since fetching the document twice costs most of the byte budget.
-LOG_FIRST_MS = 1_500.0
-# Nodes that find a snapshot due wait a random part of this for another's.
-SNAPSHOT_SPREAD_MS = 2_000.0
-SNAPSHOT_SPREAD_NODE_MS = 50.0
+# While the log answers, a revision that a peer announces is fetched from the
+# peer only if the log has not delivered it by then: fetching the document
+# twice would cost most of the byte budget.
+LOG_GRACE_MS = 1_500.0
+# Nodes that find a snapshot due wait for a random part of this time, so that
+# one of them appends it and the others see it.
+SNAPSHOT_JITTER_MS = 2_000.0
+SNAPSHOT_JITTER_PER_NODE_MS = 50.0
 WATCH_INTERVAL_MS = 500.0
-SUSPENDED_MS = 2_000.0
+SUSPENSION_GAP_MS = 2_000.0
 
 
 @attrs.define
 class ConfigurationController:
-    """Reads the log's tail, asks and tells peers, keeps snapshots alive.
+    """Reads the tail of the log, syncs with peers, and renews snapshots.
 
-    ``copy`` is the newest copy that a peer gave; a reader that begins after
-    it judges by it what it could not judge by itself.
+    ``copy`` is the newest snapshot received from a peer. A reader that starts
+    after records were dropped from the log uses it to validate publishes that
+    it could not validate by the log alone.
     """
 
     board: blackboard_module.Blackboard
@@ -54,23 +57,23 @@
     oldest: int = 1
     snapshot_offset: int = 0
     snapshot_at_ms: float | None = None
-    _draw: typing.Callable[[], float] = random.random
-    _turn: int = 0
+    _random: typing.Callable[[], float] = random.random
+    _next_peer: int = 0
     _fetching: bool = False
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to read and to exchange revisions with peers."""
-        self.hub.handle("config.sync", self._answer_sync)
-        self.hub.handle("config.news", self._take_news)
-        nursery.start_soon(self._follow_log)
+        """Start reading the log and exchanging revisions with peers."""
+        self.hub.handle("config.sync", self._handle_sync)
+        self.hub.handle("config.news", self._handle_news)
+        nursery.start_soon(self._read_forever)
         nursery.start_soon(self._sync_with_peers)
-        nursery.start_soon(self._keep_snapshot)
+        nursery.start_soon(self._maintain_snapshot)
         nursery.start_soon(self._watch_freshness)
 
     async def close(self) -> None:
         """Nothing to release; the nursery ends the tasks."""
 
-    async def _follow_log(self) -> None:
+    async def _read_forever(self) -> None:
         first = True
         while True:
             try:
@@ -94,28 +97,29 @@
         if self.reachable:
             wait_ms = int(freshness.find_poll_wait(self.board.lease_ms))
         sent_ms = self.clock.now_ms()
-        batch = await self.log.read(STREAM, offset, wait_ms, READ_MOST)
+        batch = await self.log.read(STREAM, offset, wait_ms, MAX_READ_RECORDS)
         if state is None or batch.oldest > state.read_to + 1:
-            state = self._begin(batch)
+            state = self._restart(batch)
         for item in batch.records:
-            state = self._fold(state, item)
+            state = self._apply_item(state, item)
         self.state = state
         self.oldest = batch.oldest
         if not state.known:
             return
-        if len(batch.records) < READ_MOST:
+        if len(batch.records) < MAX_READ_RECORDS:
             self.board.current_as_of_ms = freshness.take_read(
                 self.board.current_as_of_ms, sent_ms
             )
         if state.document is not None:
-            await self._put_in_force(state.revision, state.document)
+            await self._adopt(state.revision, state.document)
 
-    def _begin(self, batch: log_module.Batch) -> config_log.ConfigState:
-        """Begin at the oldest record, at first or after a gap.
+    def _restart(self, batch: log_module.Batch) -> config_log.ConfigState:
+        """Start from the oldest record, at first or after falling behind.
 
         A VM that was paused for longer than the retention finds that the
-        log has run away. What it had in force stays, since revisions only
-        rise, and it judges new publishes only by a younger copy.
+        records after its position have been dropped. The configuration that it
+        had stays in force, since revisions only rise, and new publishes are
+        validated only by a later snapshot.
         """
         if self.state is not None:
             events.log_event(
@@ -130,7 +134,7 @@
             self.snapshot_at_ms = batch.records[0].at_ms
         return state
 
-    def _fold(
+    def _apply_item(
         self, state: config_log.ConfigState, item: log_module.LogRecord
     ) -> config_log.ConfigState:
         record = config_log.decode(item.data)
@@ -147,8 +151,8 @@
             events.log_event(events.Event.CONFIG_REFUSED, offset=item.offset)
         return after
 
-    async def _put_in_force(self, revision: int, document: dict) -> None:
-        """Adopt a revision and tell peers; a node's revision only rises."""
+    async def _adopt(self, revision: int, document: dict) -> None:
+        """Put a newer revision in force and tell peers; never an older one."""
         current = self.board.config
         if current is not None and current.revision >= revision:
             return
@@ -160,17 +164,17 @@
         await self.hub.tell_all("config.news", {"revision": revision})
 
     async def _sync_with_peers(self) -> None:
-        """Ask one peer a round for its revision and its vouch.
+        """Ask one peer per round for its revision and how current it is.
 
-        One peer, whatever happens: the work does not grow with faults.
+        Always a single peer, so that the load does not grow with faults.
         """
         while True:
             interval_ms = freshness.find_question_interval(self.board.lease_ms)
             await self.clock.sleep(interval_ms)
             peers = sorted(self.hub.links)
             if peers:
-                self._turn += 1
-                await self._sync(peers[self._turn % len(peers)])
+                self._next_peer += 1
+                await self._sync(peers[self._next_peer % len(peers)])
 
     async def _sync(self, peer: str) -> None:
         asked_ms = self.clock.now_ms()
@@ -184,7 +188,7 @@
         if not isinstance(answer, dict):
             return
         if answer.get("copy") is not None:
-            await self._take_copy(peer, answer["copy"])
+            await self._apply_peer_copy(peer, answer["copy"])
         if answer["age_ms"] is None or self.board.config is None:
             return
         self.board.current_as_of_ms = freshness.take_vouch(
@@ -197,7 +201,7 @@
             ),
         )
 
-    async def _answer_sync(self, peer: str, body: typing.Any) -> dict:
+    async def _handle_sync(self, peer: str, body: typing.Any) -> dict:
         config = self.board.config
         own = config.revision if config else 0
         age_ms = self.clock.now_ms() - self.board.current_as_of_ms
@@ -210,32 +214,33 @@
                 revision=own,
                 document=config.document,
                 digest=declaration.digest_document(config.document),
-                as_of=self._find_as_of(own),
+                as_of=self._get_as_of(own),
             )
             answer["copy"] = config_log.encode(copy)
         return answer
 
-    def _find_as_of(self, revision: int) -> int:
-        """Up to where a revision is known to be the newest.
+    def _get_as_of(self, revision: int) -> int:
+        """The offset up to which a revision is known to be the newest.
 
-        A reader that has folded further says so; whoever has the revision
-        from a peer knows only that it was in force at its own offset.
+        A node that has read the log beyond the revision reports how far it has
+        read; one that received the revision from a peer knows only that it was
+        in force at its own offset.
         """
         state = self.state
         if state is not None and state.known and state.revision == revision:
             return max(state.read_to, revision)
         return revision
 
-    async def _take_copy(self, peer: str, data: object) -> None:
+    async def _apply_peer_copy(self, peer: str, data: object) -> None:
         copy = config_log.decode(data)
         if not isinstance(copy, config_log.Snapshot):
             return
         state = self.state
         digest = declaration.digest_document(copy.document)
-        wrong = digest != copy.digest or (
+        invalid = digest != copy.digest or (
             state is not None and config_log.contradicts(state, copy.revision)
         )
-        if wrong:
+        if invalid:
             events.log_event(events.Event.CONFIG_REFUSED, peer=peer)
             return
         if self.copy is None or copy.as_of > self.copy.as_of:
@@ -243,47 +248,49 @@
         if state is not None:
             self.state = state = config_log.take_peer_copy(state, copy)
         try:
-            await self._put_in_force(copy.revision, copy.document)
+            await self._adopt(copy.revision, copy.document)
             if state is not None and state.known and state.document:
-                await self._put_in_force(state.revision, state.document)
+                await self._adopt(state.revision, state.document)
         except errors.DeclarationError as fault:
             events.log_event(
                 events.Event.CONFIG_REFUSED, peer=peer, detail=str(fault)
             )
 
-    async def _take_news(self, peer: str, body: typing.Any) -> None:
+    async def _handle_news(self, peer: str, body: typing.Any) -> None:
         revision = int(body["revision"])
-        if self._has(revision) or self._fetching:
+        if self._has_revision(revision) or self._fetching:
             return
         self._fetching = True
         try:
             if self.reachable:
-                with trio.move_on_after(LOG_FIRST_MS / 1000):
-                    while not self._has(revision):
+                with trio.move_on_after(LOG_GRACE_MS / 1000):
+                    while not self._has_revision(revision):
                         await self.clock.sleep(20.0)
-            if not self._has(revision):
+            if not self._has_revision(revision):
                 await self._sync(peer)
         finally:
             self._fetching = False
 
-    def _has(self, revision: int) -> bool:
+    def _has_revision(self, revision: int) -> bool:
         config = self.board.config
         return config is not None and config.revision >= revision
 
-    async def _keep_snapshot(self) -> None:
-        """Append the configuration again before the log forgets it."""
-        spread = self._draw()
+    async def _maintain_snapshot(self) -> None:
+        """Append the configuration again before the log drops its record."""
+        jitter = self._random()
         while True:
             await self.clock.sleep(SNAPSHOT_CHECK_MS)
-            if not self._is_snapshot_due(spread):
+            if not self._is_snapshot_due(jitter):
                 continue
             nodes = 1 + len(self.board.entry_vms)
-            longest = max(SNAPSHOT_SPREAD_MS, nodes * SNAPSHOT_SPREAD_NODE_MS)
-            await self.clock.sleep(self._draw() * longest)
-            if self._is_snapshot_due(spread):
+            max_delay_ms = max(
+                SNAPSHOT_JITTER_MS, nodes * SNAPSHOT_JITTER_PER_NODE_MS
+            )
+            await self.clock.sleep(self._random() * max_delay_ms)
+            if self._is_snapshot_due(jitter):
                 await self._append_snapshot()
 
-    def _is_snapshot_due(self, spread: float) -> bool:
+    def _is_snapshot_due(self, jitter: float) -> bool:
         state = self.state
         if state is None or not self.reachable or self.snapshot_at_ms is None:
             return False
@@ -293,7 +300,7 @@
             self.snapshot_offset,
             self.clock.wall_ms() - self.snapshot_at_ms,
             self.retention_ms,
-            spread,
+            jitter,
         )
 
     async def _append_snapshot(self) -> None:
@@ -306,24 +313,26 @@
                 STREAM, [config_log.encode(snapshot)]
             )
         except errors.PlatformUnavailable:
-            # It may be in the log; the reader finds it there, or the next
-            # round appends another. Two are harmless.
+            # The snapshot may be in the log all the same: then the reader
+            # finds it, or the next round appends another. Duplicates are
+            # harmless.
             return
         self.snapshot_offset = max(self.snapshot_offset, offset)
         self.snapshot_at_ms = self.clock.wall_ms()
         events.log_event(events.Event.SNAPSHOT_APPENDED, offset=offset)
 
     async def _watch_freshness(self) -> None:
-        """Note when the lease lapses or returns.
+        """Log when the freshness lease expires or is renewed.
 
-        A suspended VM stops its monotonic clock, and its proof would look
-        young after an hour. The wall clock shows the gap once the VM runs.
+        While a VM is suspended its monotonic clock stands still, so an hour
+        later ``current_as_of_ms`` would still look recent. The wall clock
+        reveals the gap once the VM runs again.
         """
         fresh = True
         while True:
-            before = self._read_clock_gap()
+            before = self._compute_clock_difference()
             await self.clock.sleep(WATCH_INTERVAL_MS)
-            if self._read_clock_gap() - before > SUSPENDED_MS:
+            if self._compute_clock_difference() - before > SUSPENSION_GAP_MS:
                 self.board.current_as_of_ms = freshness.NEVER
             now = self.board.is_fresh(self.clock.now_ms())
             if now != fresh and self.board.config is not None:
@@ -333,5 +342,5 @@
                 events.log_event(event)
                 fresh = now
 
-    def _read_clock_gap(self) -> float:
+    def _compute_clock_difference(self) -> float:
         return self.clock.wall_ms() - self.clock.now_ms()
--- a/src/carawayward/controllers/publishing.py
+++ b/src/carawayward/controllers/publishing.py
@@ -1,4 +1,4 @@
-"""Publishes a document to the log and finds out what became of it."""
+"""Publishes a document to the log, and finds out whether it took effect."""
 
 import secrets
 
@@ -10,25 +10,25 @@
 from carawayward.protocol import config_log
 from carawayward.services import log as log_module
 
-ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 RETRY_S = 1.0
 
 
 @attrs.define
 class Publisher:
-    """Folds the log for one publish.
+    """Reads the log and publishes one document.
 
-    An append without an answer is never simply repeated: the log is read on
-    from the offset known before, looking for the publish's own id.
+    An append that gets no answer is not simply repeated: the log is read from
+    the last known offset on, to look for the publish's own id.
     """
 
     log: log_module.LogClient
     publish_id: str = attrs.field(factory=lambda: secrets.token_hex(12))
     state: config_log.ConfigState | None = None
-    fate: config_log.Fate = config_log.Fate()
+    outcome: config_log.Fate = config_log.Fate()
 
-    async def read_on(self) -> config_log.ConfigState:
-        """Fold the log up to its tail."""
+    async def read_to_tail(self) -> config_log.ConfigState:
+        """Read the log up to its tail and return the state."""
         while True:
             offset = self.state.read_to + 1 if self.state else 1
             batch = await self.log.read(config_log.STREAM, offset)
@@ -37,20 +37,20 @@
             if not batch.records:
                 return self.state
             for item in batch.records:
-                self._fold(item)
+                self._apply_item(item)
 
-    def _fold(self, item: log_module.LogRecord) -> None:
+    def _apply_item(self, item: log_module.LogRecord) -> None:
         assert self.state is not None
         record = config_log.decode(item.data)
         if record is None:
             self.state = attrs.evolve(self.state, read_to=item.offset)
             return
-        self.state, self.fate = config_log.follow_publish(
-            self.state, item.offset, record, self.publish_id, self.fate
+        self.state, self.outcome = config_log.follow_publish(
+            self.state, item.offset, record, self.publish_id, self.outcome
         )
 
     async def publish(self, document: dict, base: int, operator: str) -> int:
-        """Append until the fate is known; return the revision."""
+        """Append until the outcome is known; return the revision."""
         record = config_log.Publish(
             publish_id=self.publish_id,
             base_revision=base,
@@ -58,13 +58,13 @@
             digest=declaration.digest_document(document),
             operator=operator,
         )
-        state = await self.read_on()
+        state = await self.read_to_tail()
         if not state.known:
             raise errors.ConfigurationForgotten()
         if state.revision != base:
             raise errors.PublishConflict(base, state.revision)
         sent = False
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             try:
                 await self.log.append(
                     config_log.STREAM, [config_log.encode(record)]
@@ -72,27 +72,27 @@
                 sent = True
             except errors.PlatformUnavailable as fault:
                 sent = sent or fault.sent
-                if not sent and attempt == ATTEMPTS - 1:
+                if not sent and attempt == MAX_ATTEMPTS - 1:
                     raise
                 await trio.sleep(RETRY_S)
-            revision = await self._find_fate(base, sent)
+            revision = await self._find_outcome(base, sent)
             if revision is not None:
                 return revision
         raise errors.PublishUnknown(self.publish_id, state.read_to)
 
-    async def _find_fate(self, base: int, sent: bool) -> int | None:
-        """The revision if it took effect, None if it is not in the log."""
+    async def _find_outcome(self, base: int, sent: bool) -> int | None:
+        """Return the revision if it took effect, None if not in the log."""
         try:
-            state = await self.read_on()
+            state = await self.read_to_tail()
         except errors.PlatformUnavailable as fault:
             if not sent:
                 return None
             raise errors.PublishUnknown(
                 self.publish_id, self.state.read_to if self.state else 0
             ) from fault
-        if self.fate.revision is not None:
-            return self.fate.revision
-        if self.fate.refused or state.revision != base:
+        if self.outcome.revision is not None:
+            return self.outcome.revision
+        if self.outcome.refused or state.revision != base:
             raise errors.PublishConflict(base, state.revision)
         return None
 
@@ -103,13 +103,13 @@
     """Publish a document and return its revision.
 
     Raises PublishConflict when another publish took effect first,
-    PublishUnknown when that cannot be found out, and DeclarationError when
-    the document is not valid.
+    PublishUnknown when the outcome cannot be determined, and DeclarationError
+    when the document is not valid.
     """
     declaration.Declaration.from_config(document)
     return await Publisher(log).publish(document, base, operator)
 
 
 async def read_state(log: log_module.LogClient) -> config_log.ConfigState:
-    """Fold the whole log as it stands."""
-    return await Publisher(log).read_on()
+    """Read the whole log and return the current state."""
+    return await Publisher(log).read_to_tail()
--- a/src/carawayward/controllers/ratings.py
+++ b/src/carawayward/controllers/ratings.py
@@ -1,4 +1,4 @@
-"""Has answers rated, counts the ratings, and merges counts with peers."""
+"""Sends answers to be rated, counts ratings, and merges counts with peers."""
 
 import functools
 import itertools
@@ -20,35 +20,41 @@
 from carawayward import settings as settings_module
 
 INTERVAL_MS = 1_000.0
-SEND_MAX = 100
-# A service that has not answered for this long is taken for silent: what is
-# learned grows stale, and the declared plans stand.
+MAX_BATCH_ANSWERS = 100
+# A service that has not answered for this long counts as silent: what was
+# learned becomes outdated, and the declared plans are used.
 SILENT_AFTER_MS = 30_000.0
-# A rating that takes so many times the usual delay, from a service that
-# answers, is lost; not before the least and surely after the most.
-LOST_DELAYS = 3.0
-LOST_LEAST_MS = 60_000.0
-LOST_MOST_MS = 900_000.0
+# While the service answers, a rating counts as lost after this many times the
+# 95th percentile of the delay, but not before the minimum and in any case
+# after the maximum.
+LOST_DELAY_FACTOR = 3.0
+MIN_LOST_AFTER_MS = 60_000.0
+MAX_LOST_AFTER_MS = 900_000.0
 DELAY_STEP = 0.05
 DELAY_QUANTILE = 0.95
-WAITING_MAX = 5_000
-FORGET_MS = 10_000.0
-# What peers are sent each second: news first, then a slice of all counters
-# in turn, which heals what was lost. The numbers are fixed, so that a fault
-# makes no traffic. A row takes about 80 bytes: with four links that is under
-# 4 KB a second at the most, and a counter that grows meanwhile goes out once.
-FRESH_MAX = 10
-SLICE_MAX = 2
-
-MergeKind = typing.Literal["plan", "trial", "recent"]
-KINDS = typing.get_args(MergeKind)
-KEYS_SHARED = 4_096
+MAX_WAITING = 5_000
+EVICTION_INTERVAL_MS = 10_000.0
+# Rows sent to peers each second: changed counters first, then a few of all
+# counters in turn, which repairs lost messages. The numbers are fixed, so that
+# faults cause no extra traffic. A row takes about 80 bytes: with four links
+# that is under 4 KB a second at most. A counter that changes several times
+# before it is sent goes out once.
+MAX_CHANGED_ROWS = 10
+MAX_RESYNC_ROWS = 2
+
+TableKind = typing.Literal["plan", "trial", "recent"]
+TABLE_KINDS = typing.get_args(TableKind)
+KEY_CACHE_SIZE = 4_096
 CellRow = list[typing.Any]
 
 
 @attrs.define
 class RatingsController:
-    """Keeps the evidence and the earnings of the budgets."""
+    """Keeps the rating counters, and credits good ratings to budgets.
+
+    ``waiting`` are the answers sent to the service and not rated yet;
+    ``offset`` is the next rating to collect.
+    """
 
     board: blackboard_module.Blackboard
     clock: clock_module.Clock
@@ -57,12 +63,12 @@
     waiting: dict[str, quality.SampledAnswer] = attrs.field(factory=dict)
     offset: int = 1
     last_answered_ms: float = float("-inf")
-    usual_delay_ms: float = LOST_MOST_MS / LOST_DELAYS
-    _fresh: dict[tuple[MergeKind, evidence_module.Cell], None] = attrs.field(
-        factory=dict
+    p95_delay_ms: float = MAX_LOST_AFTER_MS / LOST_DELAY_FACTOR
+    _changed_cells: dict[tuple[TableKind, evidence_module.Cell], None] = (
+        attrs.field(factory=dict)
     )
     _cursor: int = 0
-    _forgot_ms: float = float("-inf")
+    _last_eviction_ms: float = float("-inf")
 
     @classmethod
     def from_config(
@@ -72,24 +78,24 @@
         clock: clock_module.Clock,
         hub: hub_module.PeerHub,
     ) -> "RatingsController":
-        """Without a ratings service, only peers' counts are kept."""
+        """Make the controller; without a ratings service it only merges."""
         url = settings.platform.ratings
         client = ratings_module.RatingsClient.from_config(url) if url else None
         return cls(board, clock, hub, client)
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to send answers, collect ratings and exchange counts."""
+        """Start sending answers, collecting ratings and exchanging counts."""
         self.hub.handle("evidence", self.merge_cells)
-        nursery.start_soon(self._exchange)
+        nursery.start_soon(self._gossip)
         if self.ratings is not None:
-            nursery.start_soon(self._follow_service, self.ratings)
+            nursery.start_soon(self._poll_service, self.ratings)
 
     async def close(self) -> None:
-        """Close connections; ratings that still come are not counted."""
+        """Close connections; ratings that arrive later are not counted."""
         if self.ratings is not None:
             await self.ratings.close()
 
-    async def _follow_service(
+    async def _poll_service(
         self, ratings: ratings_module.RatingsClient
     ) -> None:
         while True:
@@ -105,9 +111,9 @@
     async def send_answers(
         self, ratings: ratings_module.RatingsClient
     ) -> None:
-        """Hand over what was sampled; the service knows doubles by id."""
+        """Send sampled answers; the service recognises duplicates by id."""
         outbox = self.board.quality.outbox
-        batch = list(outbox)[:SEND_MAX]
+        batch = list(outbox)[:MAX_BATCH_ANSWERS]
         if not batch:
             return
         await ratings.send(
@@ -131,108 +137,110 @@
                 outbox.popleft()
 
     async def collect(self, ratings: ratings_module.RatingsClient) -> None:
-        """Count the ratings that have come."""
-        found, following = await ratings.collect(
+        """Collect and count the ratings that have arrived."""
+        received, next_offset = await ratings.collect(
             self.board.incarnation, self.offset
         )
-        self.offset = following
-        for rating in found:
+        self.offset = next_offset
+        for rating in received:
             answer = self.waiting.pop(rating.answer_id, None)
             if answer is not None:
-                self._learn_delay(answer)
+                self._update_delay(answer)
                 self.count(answer, rating.good)
-        self.write_off_lost()
+        self.expire_lost()
 
-    def _learn_delay(self, answer: quality.SampledAnswer) -> None:
-        """Follow the 95th percentile of how late ratings come."""
+    def _update_delay(self, answer: quality.SampledAnswer) -> None:
+        """Track the 95th percentile of the ratings' delay."""
         delay_ms = self.clock.wall_ms() - answer.answered_at_ms
-        late = delay_ms > self.usual_delay_ms
-        pull = DELAY_QUANTILE if late else DELAY_QUANTILE - 1
-        moved = self.usual_delay_ms * (1 + DELAY_STEP * pull)
-        self.usual_delay_ms = max(1_000.0, moved)
+        late = delay_ms > self.p95_delay_ms
+        direction = DELAY_QUANTILE if late else DELAY_QUANTILE - 1
+        adjusted_ms = self.p95_delay_ms * (1 + DELAY_STEP * direction)
+        self.p95_delay_ms = max(1_000.0, adjusted_ms)
 
     def count(self, answer: quality.SampledAnswer, good: bool) -> None:
-        """Count one rating wherever it says something."""
-        part = self.board.quality
+        """Count a rating in every table that it applies to."""
+        state = self.board.quality
         epoch = answer.answered_at_ms // quality.EPOCH_MS
         origin = self.board.incarnation
-        cell = part.evidence.add(origin, epoch, answer.key, good)
-        self._fresh["plan", cell] = None
+        cell = state.evidence.add(origin, epoch, answer.key, good)
+        self._changed_cells["plan", cell] = None
         trial_key = evidence_module.Key(
             answer.key.customer,
             answer.key.task,
             answer.key.version,
             generation=answer.key.generation,
         )
-        if trial_key.version not in self.list_tried():
+        if trial_key.version not in self.list_trial_versions():
             return
         epoch = answer.answered_at_ms // quality.TRIAL_EPOCH_MS
-        cell = part.trial_evidence.add(origin, epoch, trial_key, good)
-        self._fresh["trial", cell] = None
+        cell = state.trial_evidence.add(origin, epoch, trial_key, good)
+        self._changed_cells["trial", cell] = None
         epoch = answer.answered_at_ms // quality.RECENT_EPOCH_MS
-        cell = part.recent_evidence.add(origin, epoch, trial_key, good)
-        self._fresh["recent", cell] = None
+        cell = state.recent_evidence.add(origin, epoch, trial_key, good)
+        self._changed_cells["recent", cell] = None
         if good:
-            self._earn(trial_key.version, exposure.EARNED_PER_GOOD_RATING)
+            self._credit(trial_key.version, exposure.EARNED_PER_GOOD_RATING)
 
-    def list_tried(self) -> set[str]:
-        """Versions of roll-outs under way, and their baselines."""
-        tried = set()
+    def list_trial_versions(self) -> set[str]:
+        """The new, old and baseline versions of the current roll-outs."""
+        versions = set()
         for trial in self._list_trials():
             declared = trial.declared
-            tried |= {
+            versions |= {
                 declared.from_version,
                 declared.to_version,
                 declared.baseline,
             }
-        return tried
+        return versions
 
-    def _earn(self, version: str, answers: float) -> None:
-        part = self.board.quality
-        trial = part.find_trial(version)
+    def _credit(self, version: str, answers: float) -> None:
+        state = self.board.quality
+        trial = state.find_trial(version)
         if trial is None:
             return
-        accounts = part.accounts.get(trial.budget_key, {})
+        accounts = state.accounts.get(trial.budget_key, {})
         own = accounts.get(self.board.incarnation)
         if own is not None:
             accounts[self.board.incarnation] = exposure.earn(own, answers)
 
-    def write_off_lost(self) -> None:
-        """Give up ratings that will not come; the service is alive.
+    def expire_lost(self) -> None:
+        """Drop answers whose ratings will not arrive, and credit their budget.
 
         Lost ratings would otherwise hold their budget for good, and a good
-        version would starve on what the service loses. While the service
-        is silent nothing is written off: then nobody sees what the version
-        does, and a roll-out must wait.
+        version would run out of budget because of what the service loses.
+        While the service is silent this is not called: nobody can then see how
+        the version does, and the roll-out must wait.
         """
         now = self.clock.wall_ms()
-        patience_ms = max(LOST_LEAST_MS, LOST_DELAYS * self.usual_delay_ms)
-        patience_ms = min(patience_ms, LOST_MOST_MS)
+        lost_after_ms = max(
+            MIN_LOST_AFTER_MS, LOST_DELAY_FACTOR * self.p95_delay_ms
+        )
+        lost_after_ms = min(lost_after_ms, MAX_LOST_AFTER_MS)
         lost = [
             answer
             for answer in self.waiting.values()
-            if now - answer.answered_at_ms > patience_ms
+            if now - answer.answered_at_ms > lost_after_ms
         ]
         for answer in lost:
             del self.waiting[answer.answer_id]
-            self._earn(answer.key.version, 1)
-        while len(self.waiting) > WAITING_MAX:
+            self._credit(answer.key.version, 1)
+        while len(self.waiting) > MAX_WAITING:
             del self.waiting[next(iter(self.waiting))]
 
     def update_service_status(self) -> None:
-        """Say when the service falls silent and when it is back."""
-        part = self.board.quality
+        """Record and log when the service falls silent or is back."""
+        state = self.board.quality
         silence = self.clock.now_ms() - self.last_answered_ms
         usable = silence < SILENT_AFTER_MS
-        if usable != part.ratings_usable:
+        if usable != state.ratings_usable:
             kind = events.Event
             events.log_event(
                 kind.RATINGS_BACK if usable else kind.RATINGS_SILENT,
                 waiting=len(self.waiting),
             )
-        part.ratings_usable = usable
+        state.ratings_usable = usable
 
-    async def _exchange(self) -> None:
+    async def _gossip(self) -> None:
         while True:
             await self.clock.sleep(INTERVAL_MS)
             self.evict_expired()
@@ -241,38 +249,38 @@
                 await self.hub.tell_all("evidence", rows)
 
     def evict_expired(self) -> None:
-        """Drop old counters and the plans that were made from them.
+        """Drop old counters, and the plans that were made from them.
 
-        Choosing a plan takes about a millisecond; made anew for each
-        customer's task every second it would use up the node's share.
+        Choosing a plan takes about a millisecond; making one for every task of
+        every customer each second would use up the node's processor share.
         """
-        part = self.board.quality
-        if self.clock.now_ms() - self._forgot_ms < FORGET_MS:
+        state = self.board.quality
+        if self.clock.now_ms() - self._last_eviction_ms < EVICTION_INTERVAL_MS:
             return
-        self._forgot_ms = self.clock.now_ms()
+        self._last_eviction_ms = self.clock.now_ms()
         now = self.clock.wall_ms()
-        part.evidence.forget(now // quality.EPOCH_MS)
-        part.trial_evidence.forget(now // quality.TRIAL_EPOCH_MS)
-        part.recent_evidence.forget(now // quality.RECENT_EPOCH_MS)
-        part.plans = {}
+        state.evidence.forget(now // quality.EPOCH_MS)
+        state.trial_evidence.forget(now // quality.TRIAL_EPOCH_MS)
+        state.recent_evidence.forget(now // quality.RECENT_EPOCH_MS)
+        state.plans = {}
 
     def choose_rows(self) -> list[CellRow]:
-        """What to send now: news by weight, then the next of all."""
+        """Rows to send now: changed counters by priority, then some of all."""
         new = {t.declared.to_version for t in self._list_trials()}
         ranked = sorted(
-            self._fresh,
+            self._changed_cells,
             key=lambda item: (
                 item[0] == "plan",
                 item[1].key.version not in new,
             ),
         )
-        chosen = ranked[:FRESH_MAX]
+        chosen = ranked[:MAX_CHANGED_ROWS]
         for item in chosen:
-            del self._fresh[item]
-        chosen += self._choose_slice()
+            del self._changed_cells[item]
+        chosen += self._choose_resync_cells()
         rows = []
         for kind, cell in dict.fromkeys(chosen):
-            count = self._table(kind).cells.get(cell)
+            count = self._get_table(kind).cells.get(cell)
             if count is not None:
                 rows.append(encode_row(kind, cell, count))
         return rows
@@ -280,50 +288,52 @@
     def _list_trials(self) -> list[quality.Trial]:
         return list(self.board.quality.trials.values())
 
-    def _choose_slice(self) -> list[tuple[MergeKind, evidence_module.Cell]]:
-        """The next few counters of all tables, round and round."""
-        kinds: tuple[MergeKind, ...] = ("trial", "plan")
-        total = sum(len(self._table(kind).cells) for kind in kinds)
-        chosen: list[tuple[MergeKind, evidence_module.Cell]] = []
-        for step in range(min(SLICE_MAX, total)):
-            place = (self._cursor + step) % total
+    def _choose_resync_cells(
+        self,
+    ) -> list[tuple[TableKind, evidence_module.Cell]]:
+        """The next few counters of all tables, in rotation."""
+        kinds: tuple[TableKind, ...] = ("trial", "plan")
+        total = sum(len(self._get_table(kind).cells) for kind in kinds)
+        chosen: list[tuple[TableKind, evidence_module.Cell]] = []
+        for step in range(min(MAX_RESYNC_ROWS, total)):
+            position = (self._cursor + step) % total
             for kind in kinds:
-                cells = self._table(kind).cells
-                if place < len(cells):
-                    cell = next(itertools.islice(cells, place, None))
+                cells = self._get_table(kind).cells
+                if position < len(cells):
+                    cell = next(itertools.islice(cells, position, None))
                     chosen.append((kind, cell))
                     break
-                place -= len(cells)
-        self._cursor += SLICE_MAX
+                position -= len(cells)
+        self._cursor += MAX_RESYNC_ROWS
         return chosen
 
-    def _table(self, kind: MergeKind) -> evidence_module.Evidence:
-        part = self.board.quality
+    def _get_table(self, kind: TableKind) -> evidence_module.Evidence:
+        state = self.board.quality
         match kind:
             case "trial":
-                return part.trial_evidence
+                return state.trial_evidence
             case "recent":
-                return part.recent_evidence
-        return part.evidence
+                return state.recent_evidence
+        return state.evidence
 
     async def merge_cells(self, peer: str, body: typing.Any) -> None:
-        """Merge a peer's counters; what was news here goes on to others."""
+        """Merge a peer's counters; pass on those that changed here."""
         for row in body:
             kind, cell, count = decode_row(row)
-            if self._table(kind).merge(cell, count):
-                self._fresh[kind, cell] = None
+            if self._get_table(kind).merge(cell, count):
+                self._changed_cells[kind, cell] = None
 
 
-@functools.lru_cache(KEYS_SHARED)
+@functools.lru_cache(KEY_CACHE_SIZE)
 def make_key(*parts: typing.Any) -> evidence_module.Key:
-    """A key, the same object for the same parts: peers send it often."""
+    """Make a key, reusing equal ones, since peers send the same keys often."""
     return evidence_module.Key(*parts)
 
 
 def encode_row(
-    kind: MergeKind, cell: evidence_module.Cell, count: evidence_module.Count
+    kind: TableKind, cell: evidence_module.Cell, count: evidence_module.Count
 ) -> CellRow:
-    """Form of one counter between peers."""
+    """Encode a counter for peers."""
     key = cell.key
     return [
         kind,
@@ -337,18 +347,18 @@
 
 def decode_row(
     row: CellRow,
-) -> tuple[MergeKind, evidence_module.Cell, evidence_module.Count]:
-    """Read a counter; raise ValueError or TypeError for junk."""
+) -> tuple[TableKind, evidence_module.Cell, evidence_module.Count]:
+    """Decode a counter; raise ValueError or TypeError if it is malformed."""
     kind, origin, epoch, customer, task, version, *rest = row
-    band, sent_on, generation, good, bad = rest
-    if kind not in KINDS or int(good) < 0 or int(bad) < 0:
+    band, escalated, generation, good, bad = rest
+    if kind not in TABLE_KINDS or int(good) < 0 or int(bad) < 0:
         raise ValueError("not a counter")
     key = make_key(
         str(customer),
         str(task),
         str(version),
         int(band),
-        bool(sent_on),
+        bool(escalated),
         int(generation),
     )
     cell = evidence_module.Cell(sys.intern(str(origin)), int(epoch), key)
--- a/src/carawayward/controllers/rollout_reader.py
+++ b/src/carawayward/controllers/rollout_reader.py
@@ -1,4 +1,4 @@
-"""Reads the stream of roll-outs, and takes over what peers have read."""
+"""Reads the roll-out stream, and adopts state that peers have read."""
 
 import attrs
 
@@ -7,38 +7,38 @@
 from carawayward.services import log as log_module
 
 STREAM = "rollouts"
-NOTHING = decisions.RolloutLog(known=False)
+UNKNOWN_STATE = decisions.RolloutLog(known=False)
 
 
 @attrs.define
 class RolloutReader:
-    """The fold of the stream as far as this entry VM has it.
+    """The state of the roll-out stream as far as this entry VM has read it.
 
-    ``proof_ms`` is when the last read that was answered was asked for: all
-    that was in the log by then is in the fold.
+    All that was in the log by ``current_as_of_ms``, when the last answered
+    read was sent, is in the state.
     """
 
     clock: clock_module.Clock
     log: log_module.LogClient
-    state: decisions.RolloutLog = NOTHING
-    begun: bool = False
-    proof_ms: float = float("-inf")
+    state: decisions.RolloutLog = UNKNOWN_STATE
+    started: bool = False
+    current_as_of_ms: float = float("-inf")
     snapshot_ms: int = 0
 
     async def read_once(self, wait_ms: int) -> None:
-        """Fold what has come; waits for news once the tail is reached."""
-        asked_ms = self.clock.now_ms()
+        """Apply new records; wait for more once the tail is reached."""
+        sent_ms = self.clock.now_ms()
         offset = self.state.read_to + 1
         batch = await self.log.read(
-            STREAM, offset, wait_ms if self.begun else 0
+            STREAM, offset, wait_ms if self.started else 0
         )
         state = self.state
-        if not self.begun or batch.oldest > state.read_to + 1:
-            # Records that nobody here has folded are gone. A fold taken
-            # over from a peer reaches further and stays.
+        if not self.started or batch.oldest > state.read_to + 1:
+            # Records that this entry VM has not read have been dropped. State
+            # adopted from a peer that has read further is kept.
             if not state.known or batch.oldest > state.read_to + 1:
                 state = decisions.start_reading(batch.oldest)
-            self.begun = True
+            self.started = True
         for item in batch.records:
             record = decisions.decode(item.data)
             if record is None:
@@ -49,15 +49,15 @@
             if isinstance(record, decisions.Snapshot):
                 self.snapshot_ms = item.at_ms
         self.state = state
-        self.proof_ms = max(self.proof_ms, asked_ms)
+        self.current_as_of_ms = max(self.current_as_of_ms, sent_ms)
 
-    def take_fold(
+    def adopt_peer_state(
         self, read_to: int, progress: dict[str, decisions.Progress]
     ) -> None:
-        """Take over a peer's fold if it reaches further.
+        """Adopt a peer's state if it has read further.
 
-        A fold is a function of the log up to ``read_to``; of two the one
-        that has read further holds all that the other does.
+        The state is a function of the log up to ``read_to``, so the one that
+        has read further includes all that the other does.
         """
         if self.state.known and read_to <= self.state.read_to:
             return
--- a/src/carawayward/controllers/sightings.py
+++ b/src/carawayward/controllers/sightings.py
@@ -1,4 +1,4 @@
-"""Knows the endpoints: from the list, by probing, and from peers."""
+"""Tracks the endpoints: by the platform's list, by probing, and by peers."""
 
 import typing
 
@@ -16,21 +16,22 @@
 from carawayward.protocol import sightings
 from carawayward.services import vms as vms_module
 
-# The list is read less often by each of many nodes, so that the platform
-# sees about 40 reads a second; the first reader of a leaving mark tells all.
+# With many nodes, each reads the list less often, so that the platform gets
+# about 40 reads a second. The first node to read that an endpoint is leaving
+# tells all others.
 LIST_INTERVAL_MS = 2_000.0
-LIST_NODE_MS = 25.0
+LIST_PER_NODE_MS = 25.0
 PROBE_INTERVAL_MS = 1_000.0
-FIRST_LOOK_MS = 50.0
-ROUND_MS = 2_000.0
-# See membership.choose_probed: today's users have 8 to 14 endpoints, and
-# every node probes them all; at 790 a node probes some six of them.
-PROBE_ALL_MOST = 40
-PROBERS = 3
-# Facts a round to one peer, some 90 bytes each.
-FACTS = 12
-# Older facts are no reason to believe in an unlisted endpoint.
-LEARN_AGE_MS = 10_000.0
+INITIAL_POLL_MS = 50.0
+GOSSIP_INTERVAL_MS = 2_000.0
+# See membership.choose_probed: today's users have 8 to 14 endpoints, and every
+# node probes them all; with 790 endpoints a node probes about six.
+PROBE_ALL_UP_TO = 40
+PROBERS_PER_ENDPOINT = 3
+# Facts sent to one peer per round, some 90 bytes each.
+FACTS_PER_ROUND = 12
+# A fact older than this is no evidence that an unlisted endpoint exists.
+MAX_NEW_FACT_AGE_MS = 10_000.0
 TABLE_TIMEOUT_MS = 2_000.0
 
 
@@ -45,27 +46,27 @@
     endpoints: endpoints_module.EndpointClient
     known: dict[str, sightings.Sighting] = attrs.field(factory=dict)
     _probing: set[str] = attrs.field(factory=set)
-    _share: list[str] = attrs.field(factory=list)
-    _share_of: tuple[frozenset, frozenset] | None = None
+    _probed_names: list[str] = attrs.field(factory=list)
+    _probed_inputs: tuple[frozenset, frozenset] | None = None
     _cursor: int = 0
-    _turn: int = 0
+    _next_peer: int = 0
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to read the list, probe, and exchange facts with peers."""
-        self.hub.handle("endpoints", self._take_facts)
-        self.hub.handle("endpoints.table", self._answer_table)
-        nursery.start_soon(self._follow_list)
+        """Start reading the list, probing, and exchanging facts with peers."""
+        self.hub.handle("endpoints", self._handle_facts)
+        self.hub.handle("endpoints.table", self._handle_table)
+        nursery.start_soon(self._poll_list)
         nursery.start_soon(self._probe_rounds)
         nursery.start_soon(self._gossip)
 
     async def close(self) -> None:
         """Nothing to release; the nursery ends the tasks."""
 
-    async def _follow_list(self) -> None:
+    async def _poll_list(self) -> None:
         reachable = True
         while True:
             try:
-                await self._take_list(await self.vms.fetch())
+                await self._apply_list(await self.vms.fetch())
                 reachable = True
             except errors.PlatformUnavailable as fault:
                 if reachable:
@@ -74,9 +75,11 @@
                     )
                 reachable = False
             nodes = 1 + len(self.board.entry_vms)
-            await self.clock.sleep(max(LIST_INTERVAL_MS, nodes * LIST_NODE_MS))
+            await self.clock.sleep(
+                max(LIST_INTERVAL_MS, nodes * LIST_PER_NODE_MS)
+            )
 
-    async def _take_list(self, listed: list[vms_module.ListedVm]) -> None:
+    async def _apply_list(self, listed: list[vms_module.ListedVm]) -> None:
         now = self.clock.now_ms()
         names = set()
         for vm in listed:
@@ -92,27 +95,27 @@
                 vm.leaving,
                 now,
             )
-            await self._put(seen)
+            await self._store(seen)
         for name in self.known.keys() - names:
-            await self._put(sightings.see_unlisted(self.known[name]))
-        self._write_board()
+            await self._store(sightings.see_unlisted(self.known[name]))
+        self._update_board()
 
-    async def _put(self, seen: sightings.Sighting) -> None:
-        """Keep a sighting; tell all links when an endpoint leaves.
+    async def _store(self, seen: sightings.Sighting) -> None:
+        """Store a sighting; notify all peers if the endpoint starts to leave.
 
-        Each node passes a leaving mark on once, when it first learns it, so
-        all have it within a few link delays, with the platform or without.
+        Each node passes this on once, when it first learns it, so all nodes
+        know within a few link delays, with or without the platform.
         """
         before = self.known.get(seen.name)
         self.known[seen.name] = seen
         if seen.leaving and not (before is not None and before.leaving):
-            self._write_board()
+            self._update_board()
             fact = sightings.make_fact(seen, self.clock.now_ms())
             if fact is not None:
                 row = membership.encode_fact(fact)
                 await self.hub.tell_all("endpoints", [row])
 
-    def _write_board(self) -> None:
+    def _update_board(self) -> None:
         now = self.clock.now_ms()
         self.known = {
             name: seen
@@ -120,8 +123,9 @@
             if sightings.is_kept(seen, now)
         }
         # Whether this node reaches an endpoint that it probes itself is not
-        # for a peer to say: the two may stand on two sides of a cut.
-        own = set(self._share)
+        # decided by peers: they may be on the other side of a network
+        # partition.
+        own = set(self._probed_names)
         self.board.endpoints = {
             name: blackboard_module.Endpoint(
                 name=name,
@@ -139,9 +143,9 @@
         }
 
     def _choose_probed(self) -> list[str]:
-        """This node's share of the probes; scored anew only on a change.
+        """The endpoints that this node probes; recomputed only on a change.
 
-        At the target size a scoring is some 65,000 hashes.
+        At the target size, computing them takes some 65,000 hashes.
         """
         members = frozenset(
             (vm.name, vm.failure_domain)
@@ -151,21 +155,21 @@
         seen = frozenset(
             (seen.name, seen.failure_domain) for seen in self.known.values()
         )
-        if self._share_of != (seen, members):
-            self._share_of = (seen, members)
-            self._share = membership.choose_probed(
+        if self._probed_inputs != (seen, members):
+            self._probed_inputs = (seen, members)
+            self._probed_names = membership.choose_probed(
                 sorted(seen),
                 members,
                 (self.board.name, self.board.failure_domain),
-                PROBERS,
-                PROBE_ALL_MOST,
+                PROBERS_PER_ENDPOINT,
+                PROBE_ALL_UP_TO,
             )
-        return self._share
+        return self._probed_names
 
     async def _probe_rounds(self) -> None:
-        """Probe every second; a slow endpoint holds up only its own probe."""
+        """Probe every second; a slow endpoint delays only its own probe."""
         while not self.known:
-            await self.clock.sleep(FIRST_LOOK_MS)
+            await self.clock.sleep(INITIAL_POLL_MS)
         async with trio.open_nursery() as nursery:
             async with trio.open_nursery() as first:
                 for name in self._choose_probed():
@@ -193,9 +197,9 @@
         if seen is None or seen.address != endpoint.address:
             return
         if report is None:
-            await self._put(sightings.see_silence(seen))
+            await self._store(sightings.see_silence(seen))
             return
-        await self._put(
+        await self._store(
             sightings.see_report(
                 seen,
                 frozenset(report.versions),
@@ -204,25 +208,25 @@
                 self.clock.now_ms(),
             )
         )
-        self._write_board()
+        self._update_board()
 
     async def _gossip(self) -> None:
         while True:
-            await self.clock.sleep(ROUND_MS)
-            self._write_board()
+            await self.clock.sleep(GOSSIP_INTERVAL_MS)
+            self._update_board()
             peers = sorted(self.hub.links)
             if not peers:
                 continue
-            self._turn += 1
-            peer = peers[self._turn % len(peers)]
+            self._next_peer += 1
+            peer = peers[self._next_peer % len(peers)]
             if not self.known:
-                await self._ask_table(peer)
-            rows = self._list_facts(FACTS)
+                await self._fetch_table(peer)
+            rows = self._encode_next_facts(FACTS_PER_ROUND)
             if rows:
                 await self.hub.tell(peer, "endpoints", rows)
 
-    def _list_facts(self, count: int) -> list[list]:
-        """The next facts in turn."""
+    def _encode_next_facts(self, count: int) -> list[list]:
+        """Encode the next ``count`` facts, in rotation."""
         now = self.clock.now_ms()
         names = sorted(self.known)
         rows = []
@@ -234,8 +238,8 @@
         self._cursor += count
         return rows
 
-    async def _ask_table(self, peer: str) -> None:
-        """Learn all endpoints at once when there is no list at the start."""
+    async def _fetch_table(self, peer: str) -> None:
+        """Fetch all endpoints from a peer, for want of a list at the start."""
         try:
             rows = await self.hub.call(
                 peer, "endpoints.table", None, TABLE_TIMEOUT_MS
@@ -243,19 +247,19 @@
         except errors.PeerUnavailable:
             return
         if isinstance(rows, list):
-            await self._take_facts(peer, rows)
+            await self._handle_facts(peer, rows)
 
-    async def _answer_table(self, peer: str, body: typing.Any) -> list:
-        return self._list_facts(len(self.known))
+    async def _handle_table(self, peer: str, body: typing.Any) -> list:
+        return self._encode_next_facts(len(self.known))
 
-    async def _take_facts(self, peer: str, body: typing.Any) -> None:
+    async def _handle_facts(self, peer: str, body: typing.Any) -> None:
         now = self.clock.now_ms()
         for row in body:
             fact = membership.decode_fact(row)
             if fact is None:
                 continue
             known = self.known.get(fact.name)
-            if known is None and fact.age_ms > LEARN_AGE_MS:
+            if known is None and fact.age_ms > MAX_NEW_FACT_AGE_MS:
                 continue
-            await self._put(sightings.see_fact(known, fact, now))
-        self._write_board()
+            await self._store(sightings.see_fact(known, fact, now))
+        self._update_board()
--- a/src/carawayward/controllers/trial_groups.py
+++ b/src/carawayward/controllers/trial_groups.py
@@ -1,4 +1,4 @@
-"""Sums the evidence of a roll-out by the groups it is tested in."""
+"""Sums a roll-out's ratings by the groups in which it is evaluated."""
 
 from carawayward.decisions import evidence as evidence_module
 from carawayward.decisions import exposure
@@ -9,20 +9,20 @@
 def count(
     known: evidence_module.Evidence, trial: quality.Trial
 ) -> evidence_module.Count:
-    """Ratings of a new version since its roll-out began."""
-    begun = trial.progress.begun_ms // quality.TRIAL_EPOCH_MS
+    """Count the ratings of the new version since the roll-out began."""
+    first_epoch = trial.progress.begun_ms // quality.TRIAL_EPOCH_MS
     counts = (
         counted
         for key, epochs in known.totals.items()
-        if is_new(key, trial)
+        if is_trial_rating(key, trial)
         for epoch, counted in epochs.items()
-        if epoch >= begun
+        if epoch >= first_epoch
     )
     return sum(counts, evidence_module.Count())
 
 
-def is_new(key: evidence_module.Key, trial: quality.Trial) -> bool:
-    """Whether a rating is of the new version, in this generation."""
+def is_trial_rating(key: evidence_module.Key, trial: quality.Trial) -> bool:
+    """Whether a rating is of the new version, in the current generation."""
     return (
         key.version == trial.declared.to_version
         and key.generation == trial.progress.generation
@@ -30,22 +30,22 @@
 
 
 def find_worse_group(
-    part: quality.QualityState,
+    state: quality.QualityState,
     trial: quality.Trial,
     declared: declaration_module.Declaration,
 ) -> str:
-    """The group in which a version is proven worse; empty if in none.
+    """The group in which the new version is proven worse; empty if none.
 
-    The mean of the tests by minutes and by ten seconds is one test, with
-    the same chance of a false alarm.
+    The tests over minutes and over ten seconds are averaged into a single test
+    with the same probability of a false alarm.
     """
     tables = (
-        (part.trial_evidence, quality.TRIAL_EPOCH_MS),
-        (part.recent_evidence, quality.RECENT_EPOCH_MS),
+        (state.trial_evidence, quality.TRIAL_EPOCH_MS),
+        (state.recent_evidence, quality.RECENT_EPOCH_MS),
     )
     tasks = [t for t in declared.tasks if trial.declared.model in t.cascade]
     assumed = 1 - min((task.target for task in tasks), default=0.9)
-    total, most, worst = 0.0, 0.0, ""
+    total, highest, worst_group = 0.0, 0.0, ""
     for known, epoch_ms in tables:
         value, group = exposure.compute_version_evidence(
             make_groups(known, epoch_ms, trial, declared),
@@ -53,9 +53,9 @@
             assumed,
         )
         total += value / len(tables)
-        if value > most:
-            most, worst = value, group
-    return worst if exposure.is_halt_due(total) else ""
+        if value > highest:
+            highest, worst_group = value, group
+    return worst_group if exposure.is_halt_due(total) else ""
 
 
 def make_groups(
@@ -64,32 +64,34 @@
     trial: quality.Trial,
     document: declaration_module.Declaration,
 ) -> list[exposure.Group]:
-    """All traffic, each task, and each customer's part of each task."""
+    """Groups for all traffic, each task, and each customer's task."""
     declared = trial.declared
-    begun = trial.progress.begun_ms // epoch_ms
+    first_epoch = trial.progress.begun_ms // epoch_ms
     tasks = [t.name for t in document.tasks if declared.model in t.cascade]
-    names = [("", ""), *(("", task) for task in tasks)]
-    names += [
+    group_names = [("", ""), *(("", task) for task in tasks)]
+    group_names += [
         (customer.name, task)
         for customer in document.customers
         if declared.model in customer.models
         for task in tasks
     ]
     groups = {
-        name: exposure.Group(" ".join(name).strip() or "all", begun, {}, {})
-        for name in names
+        name: exposure.Group(
+            " ".join(name).strip() or "all", first_epoch, {}, {}
+        )
+        for name in group_names
     }
     baseline = declared.baseline or declared.from_version
-    none = evidence_module.Count()
+    no_ratings = evidence_module.Count()
     for key, epochs in known.totals.items():
-        unproven = is_new(key, trial)
-        if not unproven and key.version != baseline:
+        is_trial = is_trial_rating(key, trial)
+        if not is_trial and key.version != baseline:
             continue
         for name in (("", ""), ("", key.task), (key.customer, key.task)):
             group = groups.get(name)
             if group is None:
                 continue
-            table = group.canary if unproven else group.baseline
+            table = group.canary if is_trial else group.baseline
             for epoch, counted in epochs.items():
-                table[epoch] = table.get(epoch, none) + counted
+                table[epoch] = table.get(epoch, no_ratings) + counted
     return list(groups.values())
--- a/src/carawayward/quality.py
+++ b/src/carawayward/quality.py
@@ -1,4 +1,4 @@
-"""The blackboard's part on versions: ratings, roll-outs, budgets, plans."""
+"""Shared state on versions' quality: ratings, roll-outs, budgets, plans."""
 
 import collections
 
@@ -11,23 +11,25 @@
 from carawayward import rollout_declaration
 
 EPOCH_MS = 300_000
-# Roll-outs are judged twice: by minutes over their last four hours, which
-# finds a slow decline, and by ten seconds over the last ten minutes, so
-# that good answers just before a sudden fault do not hide it.
+# Roll-outs are evaluated over two windows: in epochs of a minute over the last
+# four hours, which finds a slow decline, and in epochs of ten seconds over the
+# last ten minutes, so that good answers just before a sudden fault do not mask
+# it.
 TRIAL_EPOCH_MS = 60_000
 TRIAL_EPOCHS_KEPT = 240
 RECENT_EPOCH_MS = 10_000
 RECENT_EPOCHS_KEPT = 60
-# Answers that wait for the ratings service, and all their characters; in its
-# outage the oldest go. A long conversation is a megabyte: a thousand of
-# those would be the memory of sixteen entry VMs.
+# Limits on the answers waiting for the ratings service, by number and by total
+# characters; while the service is down, the oldest are dropped. A long
+# conversation is a megabyte: a thousand of those would take the memory of
+# sixteen entry VMs.
 OUTBOX_MAX = 1_000
 OUTBOX_CHARS = 4_000_000
 
 
 @attrs.frozen(kw_only=True)
 class SampledAnswer:
-    """An answer to be rated, and what its rating will count for."""
+    """An answer to be rated, and the key under which its rating is counted."""
 
     answer_id: str
     key: evidence_module.Key
@@ -37,17 +39,17 @@
 
     @property
     def size(self) -> int:
-        """Characters that it holds."""
+        """Number of characters in the messages and the answer."""
         asked = sum(len(each["content"]) for each in self.messages)
         return asked + len(self.text)
 
 
 @attrs.frozen
 class BudgetKey:
-    """Whose budget: one roll-out's stage in one failure domain.
+    """Identifies an exposure budget: a roll-out's stage in a failure domain.
 
     ``base`` is the log offset of the record that began the stage, so each
-    stage, and each resumption, starts with a budget of its own.
+    stage, and each resumption, starts with a new budget.
     """
 
     version: str
@@ -57,11 +59,12 @@
 
 @attrs.frozen(kw_only=True)
 class Trial:
-    """A roll-out as this entry VM stands to it just now.
+    """A roll-out's current state as seen by this entry VM.
 
-    ``holders`` are the entry VMs of this failure domain that may start the
-    new version, ``members`` the number of all of them. ``open`` is False
-    when this one is cut off, and so may not know of a halt.
+    ``holders`` are the entry VMs of this failure domain that may start
+    sessions on the new version; ``members`` is the number of entry VMs in the
+    failure domain. ``open`` is False while this entry VM is cut off and so may
+    not know of a halt.
     """
 
     declared: rollout_declaration.Rollout
@@ -81,7 +84,12 @@
 
 @attrs.define
 class QualityState:
-    """What this entry VM knows of versions' quality; plain state."""
+    """What this entry VM knows about the quality of versions.
+
+    ``estimated_ms`` estimates how long each version takes to answer.
+    ``accounts`` holds, for each budget, the account of each entry VM by its
+    incarnation.
+    """
 
     evidence: evidence_module.Evidence = attrs.field(
         factory=evidence_module.Evidence
@@ -108,21 +116,21 @@
     halted_settled: frozenset[str] = frozenset()
 
     def queue_sample(self, sample: SampledAnswer) -> None:
-        """Queue an answer for the ratings service, within the bounds."""
+        """Queue an answer for the ratings service; drop the oldest if full."""
         self.outbox.append(sample)
         held = sum(each.size for each in self.outbox)
         while held > OUTBOX_CHARS and len(self.outbox) > 1:
             held -= self.outbox.popleft().size
 
     def find_trial(self, version: str) -> Trial | None:
-        """The roll-out under way whose new version this is."""
+        """The unfinished roll-out that introduces this version, if any."""
         for trial in self.trials.values():
             if trial.declared.to_version == version and not trial.done:
                 return trial
         return None
 
     def find_generation(self, version: str) -> int:
-        """The generation of a version's roll-out; 0 if it has none."""
+        """The generation of the roll-out of this version; 0 if it has none."""
         for trial in self.trials.values():
             if trial.declared.to_version == version:
                 return trial.progress.generation
