--- a/bench/quality.py
+++ b/bench/quality.py
@@ -1,9 +1,9 @@
 """Cost at the quality target, exposure before a halt, and false halts.
 
-``./build.sh bench quality`` runs the daemon's own decisions and controllers
-in virtual time, from fixed seeds, beside their baselines, and writes
-``bench/results/quality.md``. Requests, difficulties and ratings are made
-up; nothing here says how a real model does.
+``./build.sh bench quality`` runs the daemon's own decisions and controllers in
+virtual time, from fixed seeds, next to baselines, and writes
+``bench/results/quality.md``. Requests, difficulties and ratings are synthetic,
+so the results say nothing about real models.
 """
 
 import concurrent.futures
@@ -23,19 +23,19 @@
 WORKERS = 4
 
 
-def silence() -> None:
-    """Keep the daemon's events out of the results."""
+def suppress_events() -> None:
+    """Keep the daemon's log events out of the output."""
     logging.set_verbosity(logging.FATAL)
 
 
 def main(rollouts: int = ROLLOUTS) -> None:
-    """Run all three and write the results.
+    """Run all three benchmarks and write the results.
 
     Args:
-        rollouts: good roll-outs played for each kind of ratings.
+        rollouts: good roll-outs simulated for each ratings scenario.
     """
-    began = time.monotonic()
-    cells = [
+    started_at = time.monotonic()
+    parameters = [
         (count, delay_s, kind, seed)
         for kind in quality_exposure.BAD_SHARES
         for count in (1, 9, 82)
@@ -43,22 +43,24 @@
         for seed in (1, 2, 3)
         if seed == 1 or count < 82
     ]
-    part = rollouts // WORKERS
-    starts = range(0, rollouts, part)
+    rollouts_per_task = rollouts // WORKERS
+    starts = range(0, rollouts, rollouts_per_task)
     with concurrent.futures.ProcessPoolExecutor(
-        WORKERS, initializer=silence
+        WORKERS, initializer=suppress_events
     ) as pool:
         exposures = [
             pool.submit(quality_exposure.measure_exposure, *c)
-            for c in cells[::-1]
+            for c in parameters[::-1]
         ]
         costs = [
-            pool.submit(quality_cost.measure_cost, mix)
-            for mix in quality_cost.MIXES
+            pool.submit(quality_cost.measure_cost, workload)
+            for workload in quality_cost.WORKLOADS
         ]
         halts = [
             [
-                pool.submit(quality_halts.count_false_halts, w, s, part)
+                pool.submit(
+                    quality_halts.count_false_halts, w, s, rollouts_per_task
+                )
                 for s in starts
             ]
             for w in quality_halts.RATINGS_SCENARIOS
@@ -67,7 +69,11 @@
             costs=[each.result() for each in costs],
             exposures=[each.result() for each in exposures],
             halts=[
-                (w.name, sum(f.result() for f in futures), part * len(starts))
+                (
+                    w.name,
+                    sum(f.result() for f in futures),
+                    rollouts_per_task * len(starts),
+                )
                 for w, futures in zip(
                     quality_halts.RATINGS_SCENARIOS, halts, strict=True
                 )
@@ -75,7 +81,7 @@
         )
     RESULTS.write_text(text, encoding="utf-8")
     print(text)
-    print(f"took {time.monotonic() - began:.0f} s")
+    print(f"took {time.monotonic() - started_at:.0f} s")
 
 
 if __name__ == "__main__":
--- a/bench/quality_cost.py
+++ b/bench/quality_cost.py
@@ -1,4 +1,4 @@
-"""Cost of cascades at a quality target, beside simple policies."""
+"""Cost of cascades at a quality target, compared with simple policies."""
 
 import math
 import random
@@ -19,11 +19,11 @@
 
 
 @attrs.frozen(kw_only=True)
-class Mix:
-    """A made-up customer's requests.
+class Workload:
+    """A synthetic customer's requests.
 
-    ``hard`` is the share of hard requests; ``noise`` how badly the cheap
-    version's confidence tells them from easy ones.
+    ``hard`` is the share of hard requests; ``noise`` is the error with which
+    the cheap version's confidence separates them from easy ones.
     """
 
     name: str
@@ -34,8 +34,8 @@
 
 
 @attrs.frozen
-class Ask:
-    """One request, with what each version would make of it."""
+class SimulatedRequest:
+    """One request, and how good each version's answer to it would be."""
 
     difficulty: float
     cheap_good: bool
@@ -43,43 +43,43 @@
     confidence: float
 
 
-MIXES = (
-    Mix(
+WORKLOADS = (
+    Workload(
         name="oduya, clear confidence",
         hard=0.2,
         noise=0.08,
         cheap_cost=0.2,
         strong_cost=2.0,
     ),
-    Mix(
+    Workload(
         name="oduya, noisy confidence",
         hard=0.2,
         noise=0.2,
         cheap_cost=0.2,
         strong_cost=2.0,
     ),
-    Mix(
+    Workload(
         name="wayfarer, clear confidence",
         hard=0.35,
         noise=0.08,
         cheap_cost=0.3,
         strong_cost=3.0,
     ),
-    Mix(
+    Workload(
         name="wayfarer, noisy confidence",
         hard=0.35,
         noise=0.2,
         cheap_cost=0.3,
         strong_cost=3.0,
     ),
-    Mix(
+    Workload(
         name="nearly all easy",
         hard=0.04,
         noise=0.15,
         cheap_cost=0.2,
         strong_cost=2.0,
     ),
-    Mix(
+    Workload(
         name="nearly all hard",
         hard=0.9,
         noise=0.15,
@@ -89,48 +89,54 @@
 )
 
 
-def make_asks(mix: Mix, count: int, seed: int) -> list[Ask]:
-    """Requests whose cheap answers fail the more the harder they are."""
-    draw = random.Random(seed)
-    asks = []
+def make_requests(
+    workload: Workload, count: int, seed: int
+) -> list[SimulatedRequest]:
+    """Make requests; the harder one is, the more often cheap answers fail."""
+    rng = random.Random(seed)
+    requests = []
     for _ in range(count):
-        hard = draw.random() < mix.hard
-        difficulty = draw.betavariate(7, 2) if hard else draw.betavariate(2, 9)
+        hard = rng.random() < workload.hard
+        difficulty = rng.betavariate(7, 2) if hard else rng.betavariate(2, 9)
         cheap = 0.98 / (1 + math.exp(14 * (difficulty - 0.62)))
         strong = 0.985 - 0.05 * difficulty
-        confidence = 1 - difficulty + draw.gauss(0, mix.noise)
-        asks.append(
-            Ask(
+        confidence = 1 - difficulty + rng.gauss(0, workload.noise)
+        requests.append(
+            SimulatedRequest(
                 difficulty,
-                draw.random() < cheap,
-                draw.random() < strong,
+                rng.random() < cheap,
+                rng.random() < strong,
                 min(0.999, max(0.0, confidence)),
             )
         )
-    return asks
+    return requests
 
 
 def run_steps(
-    mix: Mix, ask: Ask, steps: typing.Sequence[cascade.Step]
+    workload: Workload,
+    request: SimulatedRequest,
+    steps: typing.Sequence[cascade.Step],
 ) -> tuple[float, bool, int]:
-    """Cost, whether the answer is good, and the number of steps run."""
+    """Run a plan; return cost, whether the answer is good, and steps run."""
     cost = 0.0
     for number, step in enumerate(steps, 1):
         cheap = step.version == "cheap"
-        cost += mix.cheap_cost if cheap else mix.strong_cost
-        if step.accept_at is None or ask.confidence >= step.accept_at:
-            good = ask.cheap_good if cheap else ask.strong_good
+        cost += workload.cheap_cost if cheap else workload.strong_cost
+        if step.accept_at is None or request.confidence >= step.accept_at:
+            good = request.cheap_good if cheap else request.strong_good
             return cost, good, number
     raise AssertionError("a plan ends with a step that always stands")
 
 
-def learn(mix: Mix, asks: list[Ask]) -> list[tuple[float, bool]]:
+def simulate_learned_plans(
+    workload: Workload, requests: list[SimulatedRequest]
+) -> list[tuple[float, bool]]:
     """Cost and goodness of each request under the learned plans.
 
-    A tenth is rated, and ratings come 200 requests late.
+    A tenth of the answers are rated, and ratings arrive 200 requests late.
     """
     clock = clock_module.ManualClock()
-    rig = make_cost_rig(mix, clock)
+    rig = make_cost_rig(workload, clock)
     node = rig.nodes[0]
     board = node.board
     assert board.config is not None
@@ -139,13 +145,13 @@
     task = board.config.tasks["t"]
     late: list[tuple[quality.SampledAnswer, bool]] = []
     done = []
-    for number, ask in enumerate(asks):
+    for number, request in enumerate(requests):
         rig.clock.advance(200)
         if number % 50 == 0:
             node.ratings.evict_expired()
         key = f"r{number}"
         plan = planning.choose_plan(board, customer, task, key, {}, 1e9)
-        cost, good, ran = run_steps(mix, ask, plan.steps)
+        cost, good, ran = run_steps(workload, request, plan.steps)
         done.append((cost, good))
         for index, step in enumerate(plan.steps[:ran]):
             answer = quality.SampledAnswer(
@@ -154,7 +160,7 @@
                     "c",
                     "t",
                     step.version,
-                    evidence.find_band(ask.confidence),
+                    evidence.find_band(request.confidence),
                     index > 0,
                 ),
                 answered_at_ms=rig.clock.wall_ms(),
@@ -165,7 +171,7 @@
             while board.quality.outbox:
                 sample = board.quality.outbox.popleft()
                 cheap = sample.key.version == "cheap"
-                good = ask.cheap_good if cheap else ask.strong_good
+                good = request.cheap_good if cheap else request.strong_good
                 late.append((sample, good))
         while len(late) > 20:
             node.ratings.count(*late.pop(0))
@@ -173,12 +179,15 @@
 
 
 def make_cost_rig(
-    mix: Mix, clock: clock_module.ManualClock
+    workload: Workload, clock: clock_module.ManualClock
 ) -> quality_rig.Rig:
-    """One entry VM with a cascade of two models."""
+    """Make a rig of one entry VM, with a cascade of two models."""
     models = [
         {"name": n, "versions": [{"name": n, "cost": cost}]}
-        for n, cost in (("cheap", mix.cheap_cost), ("strong", mix.strong_cost))
+        for n, cost in (
+            ("cheap", workload.cheap_cost),
+            ("strong", workload.strong_cost),
+        )
     ]
     document = {
         "format": declaration.FORMAT,
@@ -203,29 +212,36 @@
     return quality_rig.Rig.from_config(document, ["a"], 1, lambda _: True)
 
 
-def find_oracle(mix: Mix, asks: list[Ask], quality_met: float) -> float:
-    """Least mean cost that reaches a quality, knowing each difficulty.
+def compute_oracle_cost(
+    workload: Workload, requests: list[SimulatedRequest], quality_met: float
+) -> float:
+    """Lowest mean cost that reaches a quality, knowing each difficulty.
 
-    It runs one version a request: the strong one for the hardest, for as
-    many as it takes to reach what the learned plans reached.
+    The oracle runs one version per request: the strong one for the hardest
+    requests, for as many as are needed to reach the quality of the learned
+    plans.
     """
-    ranked = sorted(asks, key=lambda ask: -ask.difficulty)
-    good = sum(ask.cheap_good for ask in ranked)
+    ranked = sorted(requests, key=lambda request: -request.difficulty)
+    good = sum(request.cheap_good for request in ranked)
     strong = 0
-    for ask in ranked:
+    for request in ranked:
         if good >= quality_met * len(ranked):
             break
-        good += ask.strong_good - ask.cheap_good
+        good += request.strong_good - request.cheap_good
         strong += 1
     rest = len(ranked) - strong
-    return (strong * mix.strong_cost + rest * mix.cheap_cost) / len(ranked)
+    return (strong * workload.strong_cost + rest * workload.cheap_cost) / len(
+        ranked
+    )
 
 
-def find_hindsight(mix: Mix, asks: list[Ask], quality_met: float) -> float:
-    """Cost of the best plan of all for the same quality, known afterwards.
+def compute_best_plan_cost(
+    workload: Workload, requests: list[SimulatedRequest], quality_met: float
+) -> float:
+    """Cost of the cheapest single plan with the same quality, in hindsight.
 
-    What lies between it and the oracle is what the cheap version's
-    confidence does not show; no choice of plan can win that back.
+    The gap between it and the oracle is what the cheap version's confidence
+    does not show; no choice of plan can close it.
     """
     strong = cascade.Step("strong", "strong", None)
     plans = [[cascade.Step("cheap", "cheap", None)], [strong]]
@@ -234,41 +250,41 @@
         plans.append([first, strong])
     costs = []
     for steps in plans:
-        done = [run_steps(mix, ask, steps) for ask in asks]
+        done = [run_steps(workload, request, steps) for request in requests]
         if statistics.fmean(good for _, good, _ in done) >= quality_met:
             costs.append(statistics.fmean(cost for cost, _, _ in done))
     return min(costs, default=float("nan"))
 
 
-def measure_cost(mix: Mix) -> dict:
+def measure_cost(workload: Workload) -> dict:
     """One row: each policy's quality and mean cost, after a warm-up."""
-    asks = make_asks(mix, 24_000, seed=17)
-    warm = len(asks) // 3
-    learned = learn(mix, asks)[warm:]
-    asks = asks[warm:]
+    requests = make_requests(workload, 24_000, seed=17)
+    warm_up = len(requests) // 3
+    learned = simulate_learned_plans(workload, requests)[warm_up:]
+    requests = requests[warm_up:]
     declared = [
         cascade.Step("cheap", "cheap", 0.7),
         cascade.Step("strong", "strong", None),
     ]
-    fixed = [run_steps(mix, ask, declared) for ask in asks]
-    met = statistics.fmean(good for _, good in learned)
+    fixed = [run_steps(workload, request, declared) for request in requests]
+    learned_quality = statistics.fmean(good for _, good in learned)
     cost = statistics.fmean(each for each, _ in learned)
-    oracle = find_oracle(mix, asks, met)
-    hindsight = find_hindsight(mix, asks, met)
+    oracle = compute_oracle_cost(workload, requests, learned_quality)
+    hindsight = compute_best_plan_cost(workload, requests, learned_quality)
     return {
-        "mix": mix.name,
-        "learned": (cost, met),
+        "workload": workload.name,
+        "learned": (cost, learned_quality),
         "fixed": (
             statistics.fmean(c for c, _, _ in fixed),
             statistics.fmean(g for _, g, _ in fixed),
         ),
         "cheap": (
-            mix.cheap_cost,
-            statistics.fmean(a.cheap_good for a in asks),
+            workload.cheap_cost,
+            statistics.fmean(a.cheap_good for a in requests),
         ),
         "strong": (
-            mix.strong_cost,
-            statistics.fmean(a.strong_good for a in asks),
+            workload.strong_cost,
+            statistics.fmean(a.strong_good for a in requests),
         ),
         "oracle": oracle,
         "hindsight": hindsight,
--- a/bench/quality_exposure.py
+++ b/bench/quality_exposure.py
@@ -1,4 +1,4 @@
-"""Answers of a bad version before every entry VM has halted it."""
+"""Answers given by a bad version before every entry VM has halted it."""
 
 import random
 
@@ -7,9 +7,10 @@
 from tests.common import platform_fakes
 from tests.common import quality_rig
 
-RATE = 20
-SHARE = 0.05
-# That of Wayfarer's first stage, over all failure domains.
+REQUESTS_PER_S = 20
+CANARY_SHARE = 0.05
+# The budget of the first stage in Wayfarer's document, over all failure
+# domains.
 BUDGET = 12
 BASELINE_SAMPLES = 20
 BASELINE_LIMIT = 0.15
@@ -17,10 +18,10 @@
 
 
 def measure_exposure(count: int, delay_s: int, kind: str, seed: int) -> dict:
-    """Answers of a bad version before every entry VM has halted it."""
+    """Count a bad version's answers until every entry VM has halted it."""
     domains = ["hall-a", "hall-b", "hall-c"][:count]
     stage = {
-        "share": SHARE,
+        "share": CANARY_SHARE,
         "dwell_ms": 86_400_000,
         "evidence": 10_000,
         "exposure_budget": dict.fromkeys(domains, BUDGET // len(domains)),
@@ -43,16 +44,16 @@
         "kind": kind,
         "exposed": rig.answers_by_version.get("scribe-8", 0),
         "seconds": seconds,
-        "baseline": run_baseline(count, delay_s, good, seed),
+        "baseline": simulate_baseline(count, delay_s, good, seed),
     }
 
 
 async def run_until_halted(rig: quality_rig.Rig, limit: int) -> int:
-    """Serve until the halt is known everywhere; seconds it took, or -1."""
-    draw = random.Random(rig.request_count)
+    """Send requests until all have halted; return the seconds, or -1."""
+    rng = random.Random(rig.request_count)
     for second in range(limit):
-        for _ in range(RATE):
-            node = rig.nodes[draw.randrange(len(rig.nodes))]
+        for _ in range(REQUESTS_PER_S):
+            node = rig.nodes[rng.randrange(len(rig.nodes))]
             rig.send_request(node, "delta-hosts", "stage-note")
         await rig.tick()
         if all(node.board.quality.halted for node in rig.nodes):
@@ -60,21 +61,22 @@
     return -1
 
 
-def run_baseline(count: int, delay_s: int, good: float, seed: int) -> int:
-    """A fixed share on every entry VM, halted by a threshold of its own.
+def simulate_baseline(count: int, delay_s: int, good: float, seed: int) -> int:
+    """Count a bad version's answers under a fixed share and threshold.
 
-    To the baseline's favour the first entry VM that halts halts them all.
+    Each entry VM halts by its own ratings alone. In the baseline's favour, the
+    first entry VM to halt halts them all.
     """
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     rated = [[0, 0] for _ in range(count)]
     late: list[tuple[int, int, bool]] = []
     exposed = 0
     for second in range(40_000):
-        for _ in range(RATE):
-            if draw.random() < SHARE:
+        for _ in range(REQUESTS_PER_S):
+            if rng.random() < CANARY_SHARE:
                 exposed += 1
-                vm = draw.randrange(count)
-                late.append((second + delay_s, vm, draw.random() < good))
+                vm = rng.randrange(count)
+                late.append((second + delay_s, vm, rng.random() < good))
         while late and late[0][0] <= second:
             _, vm, is_good = late.pop(0)
             rated[vm][0 if is_good else 1] += 1
--- a/bench/quality_report.py
+++ b/bench/quality_report.py
@@ -1,8 +1,8 @@
-"""The page that ``bench/quality.py`` writes."""
+"""Formats the page that ``bench/quality.py`` writes."""
 
 import statistics
 
-HEAD = """# Cost at the quality target, exposure, false halts
+HEADER = """# Cost at the quality target, exposure, false halts
 
 `./build.sh bench quality`: fixed seeds, virtual time, the daemon's own
 decisions and controllers; made-up difficulties and ratings. The same run
@@ -15,22 +15,22 @@
     exposures: list[dict],
     halts: list[tuple[str, int, int]],
 ) -> str:
-    """All three tables, and which goals were met."""
+    """Format all three tables, with the goals that were met."""
     return "\n".join(
         [
-            HEAD,
-            *show_costs(costs),
+            HEADER,
+            *format_costs(costs),
             "",
-            *show_exposures(exposures),
+            *format_exposures(exposures),
             "",
-            *show_halts(halts),
+            *format_halts(halts),
             "",
         ]
     )
 
 
-def show_costs(rows: list[dict]) -> list[str]:
-    """Mean cost of a request, with the quality reached in brackets."""
+def format_costs(rows: list[dict]) -> list[str]:
+    """Format the mean cost per request, with the quality in brackets."""
     lines = [
         "## Cost of a request at a target of 0.90",
         "",
@@ -50,15 +50,15 @@
         ]
         met = "met" if row["over"] <= 0.10 else "missed"
         lines.append(
-            f"| {row['mix']} | {' | '.join(marks)}"
+            f"| {row['workload']} | {' | '.join(marks)}"
             f" | {row['hindsight']:.3f} | {row['oracle']:.3f}"
             f" | {row['over']:+.1%} | {met} |"
         )
     return lines
 
 
-def show_exposures(rows: list[dict]) -> list[str]:
-    """Answers exposed, by entry VMs and delay, against the baseline."""
+def format_exposures(rows: list[dict]) -> list[str]:
+    """Format answers exposed, by entry VMs and delay, next to the baseline."""
     lines = [
         "## Answers of a bad version before the halt is known everywhere",
         "",
@@ -78,19 +78,19 @@
     for (kind, delay_s, count), group in sorted(groups.items()):
         exposed = statistics.fmean(r["exposed"] for r in group)
         baseline = statistics.fmean(r["baseline"] for r in group)
-        never = any(r["seconds"] < 0 for r in group)
+        unhalted = any(r["seconds"] < 0 for r in group)
         seconds = statistics.fmean(r["seconds"] for r in group)
-        met = "met" if exposed <= baseline / 5 and not never else "missed"
+        met = "met" if exposed <= baseline / 5 and not unhalted else "missed"
         lines.append(
             f"| {kind} | {count} | {delay_s} s | {len(group)} |"
-            f" {exposed:.0f} | {'never' if never else f'{seconds:.0f}'} |"
+            f" {exposed:.0f} | {'never' if unhalted else f'{seconds:.0f}'} |"
             f" {baseline:.0f} | {exposed / baseline:.2f} | {met} |"
         )
     return lines
 
 
-def show_halts(rows: list[tuple[str, int, int]]) -> list[str]:
-    """False halts per 1,000 good roll-outs."""
+def format_halts(rows: list[tuple[str, int, int]]) -> list[str]:
+    """Format false halts per 1,000 good roll-outs."""
     lines = [
         "## False halts of good roll-outs",
         "",
--- a/tests/common/clocks.py
+++ b/tests/common/clocks.py
@@ -6,12 +6,12 @@
 
 
 class TrioClock(clock_module.Clock):
-    """The clock of trio, which a test may replace by one that jumps."""
+    """Reads trio's clock, which a test may replace by a simulated one."""
 
     def now_ms(self) -> float:
-        """The time in ms."""
+        """Return trio's current time in ms."""
         return trio.current_time() * 1000
 
     def boot_ms(self) -> float:
-        """The time in ms."""
+        """Return trio's current time in ms."""
         return trio.current_time() * 1000
--- a/tests/common/peering.py
+++ b/tests/common/peering.py
@@ -1,4 +1,4 @@
-"""Links between entry VMs in one process, and a way to silence them."""
+"""Peer links in one process, and a proxy that can stall them."""
 
 import contextlib
 import typing
@@ -28,7 +28,7 @@
     tls: dict | None = None,
     choose: dialling.Choose = topology.choose_peers,
 ) -> hub_module.PeerHub:
-    """A hub that is not started yet."""
+    """Make a hub without starting it."""
     address = f"127.0.0.1:{port}"
     settings = settings_module.Settings.from_config(
         yaml.safe_dump(
@@ -50,7 +50,7 @@
 
 
 async def start_member(hub: hub_module.PeerHub, nursery: trio.Nursery) -> None:
-    """Start a hub and what tells its peers of the other entry VMs."""
+    """Start a hub and the controller that exchanges membership records."""
     await hub.start(nursery)
     controller = membership.MembershipController(
         hub.board, hub.clock, hub, hub.settings.listen.peers
@@ -61,7 +61,7 @@
 async def wait_until(
     condition: typing.Callable[[], bool], timeout_s: float = 20.0
 ) -> None:
-    """Wait until a condition holds; raise TooSlowError if it does not."""
+    """Wait until a condition holds; raise TooSlowError on a time-out."""
     with trio.fail_after(timeout_s):
         while not condition():
             await trio.sleep(0.01)
@@ -69,9 +69,9 @@
 
 @attrs.define(eq=False)
 class TcpProxy:
-    """Forwards connections to a port; ``silent`` drops what they carry.
+    """Forwards connections to a port, and can stall those that are open.
 
-    Only connections that stand at that time go silent: new ones work.
+    Connections that are opened after ``stall`` work as usual.
     """
 
     target: int
@@ -85,17 +85,17 @@
             await trio.serve_tcp(self._forward, self.port, host="127.0.0.1")
 
     def stall(self) -> None:
-        """Make all standing connections silent for good."""
+        """Stop forwarding on all open connections without closing them."""
         self.generation += 1
 
-    async def _forward(self, near: trio.SocketStream) -> None:
+    async def _forward(self, client: trio.SocketStream) -> None:
         born = self.generation
-        far = await trio.open_tcp_stream("127.0.0.1", self.target)
-        async with near, far, trio.open_nursery() as nursery:
-            nursery.start_soon(self._pump, near, far, born)
-            nursery.start_soon(self._pump, far, near, born)
+        server = await trio.open_tcp_stream("127.0.0.1", self.target)
+        async with client, server, trio.open_nursery() as nursery:
+            nursery.start_soon(self._copy, client, server, born)
+            nursery.start_soon(self._copy, server, client, born)
 
-    async def _pump(
+    async def _copy(
         self, source: trio.SocketStream, sink: trio.SocketStream, born: int
     ) -> None:
         with contextlib.suppress(
--- a/tests/common/platform_fakes.py
+++ b/tests/common/platform_fakes.py
@@ -1,6 +1,7 @@
-"""The platform in memory and in virtual time: its log, ratings and links.
+"""In-memory fakes of the log, the ratings service and the links.
 
-Each takes the faults that the real one has: answers lost, silence, delays.
+They run in virtual time and have the faults of the real ones: lost answers,
+outages, delays.
 """
 
 import hashlib
@@ -15,14 +16,18 @@
 
 
 def hash_fraction(*parts: object) -> float:
-    """A number between 0 and 1 that depends on its arguments alone."""
+    """Return a number in [0, 1) that depends only on the arguments."""
     text = " ".join(map(str, parts)).encode()
     return int.from_bytes(hashlib.sha256(text).digest()[:7]) / 2.0**56
 
 
 @attrs.define
 class FakeLog:
-    """The platform's log; ``cut`` names callers that cannot reach it."""
+    """The platform's log; while ``down`` it refuses every call.
+
+    ``lose_answers`` is the number of appends that will take effect without an
+    answer.
+    """
 
     clock: clock_module.ManualClock
     records: list[log_module.LogRecord] = attrs.field(factory=list)
@@ -31,7 +36,7 @@
     oldest: int = 1
 
     async def append(self, stream: str, records: list) -> int:
-        """Append, and perhaps lose the answer."""
+        """Append records; the answer may be lost."""
         if self.down:
             raise errors.PlatformUnavailable("log", "down", sent=False)
         first = len(self.records) + 1
@@ -58,33 +63,37 @@
 
 @attrs.define
 class FakeRatings:
-    """The ratings service; faults as of the stand-in."""
+    """The ratings service, with the faults of tests/standins/ratings.py."""
 
     clock: clock_module.ManualClock
     judge: typing.Callable[[dict], bool]
     delay_ms: float = 0.0
-    lose: float = 0.0
+    loss_rate: float = 0.0
     down: bool = False
-    boxes: dict[str, list[tuple[float, str, bool]]] = attrs.field(factory=dict)
+    mailboxes: dict[str, list[tuple[float, str, bool]]] = attrs.field(
+        factory=dict
+    )
 
     async def send(self, mailbox: str, answers: list[dict]) -> None:
-        """Take answers to be rated."""
+        """Accept answers to be rated."""
         if self.down:
             raise errors.PlatformUnavailable("ratings", "down")
         due = self.clock.now_ms() + self.delay_ms
-        box = self.boxes.setdefault(mailbox, [])
+        pending = self.mailboxes.setdefault(mailbox, [])
         for answer in answers:
-            if hash_fraction(answer["id"], "lose") >= self.lose:
-                box.append((due, answer["id"], self.judge(answer)))
+            if hash_fraction(answer["id"], "lose") >= self.loss_rate:
+                pending.append((due, answer["id"], self.judge(answer)))
 
     async def collect(
         self, mailbox: str, offset: int
     ) -> tuple[list[ratings_module.Rating], int]:
-        """Give the ratings that are due."""
+        """Return the ratings that are due."""
         if self.down:
             raise errors.PlatformUnavailable("ratings", "down")
         found = []
-        for due, answer_id, good in self.boxes.get(mailbox, [])[offset - 1 :]:
+        for due, answer_id, good in self.mailboxes.get(mailbox, [])[
+            offset - 1 :
+        ]:
             if due > self.clock.now_ms():
                 break
             found.append(ratings_module.Rating(answer_id, good))
@@ -93,7 +102,7 @@
 
 @attrs.define
 class FakeHub:
-    """Links to a few peers; messages arrive at the end of the tick."""
+    """Links to a few peers; messages are delivered at the end of the tick."""
 
     name: str
     peers: list[str]
@@ -101,7 +110,7 @@
     handlers: dict[str, typing.Callable] = attrs.field(factory=dict)
 
     def handle(self, kind: str, handler: typing.Callable) -> None:
-        """Register what takes messages of a kind."""
+        """Register the handler of a kind of messages."""
         self.handlers[kind] = handler
 
     async def tell_all(self, kind: str, body: typing.Any) -> None:
--- a/tests/common/quality_rig.py
+++ b/tests/common/quality_rig.py
@@ -1,7 +1,8 @@
-"""Entry VMs' ratings and roll-outs in one process and in virtual time.
+"""Simulates entry VMs' ratings and roll-outs in one process.
 
-The controllers and decisions are the daemon's own; only the log, the links
-and the ratings service are fakes, so that minutes pass in milliseconds.
+The controllers and decisions are the daemon's own. Only the log, the links and
+the ratings service are fakes in virtual time, so that minutes pass in
+milliseconds.
 """
 
 import typing
@@ -21,12 +22,12 @@
 from carawayward import quality
 from tests.common import platform_fakes
 
-LINKS = 4
+LINK_STEPS = 4
 
 
 @attrs.define
 class Node:
-    """One entry VM."""
+    """One simulated entry VM."""
 
     board: blackboard.Blackboard
     hub: platform_fakes.FakeHub
@@ -45,7 +46,11 @@
 
 @attrs.define
 class Rig:
-    """All entry VMs of a deployment, ticked a second at a time."""
+    """A simulated cluster of entry VMs, advanced a second at a time.
+
+    ``cut`` are the pairs of failure domains between which messages are lost;
+    ``nodes_without_log`` are the entry VMs that cannot reach the log.
+    """
 
     document: dict
     clock: clock_module.ManualClock
@@ -66,7 +71,7 @@
         count: int,
         judge: typing.Callable[[dict], bool],
     ) -> "Rig":
-        """Entry VMs spread over the domains, each linked to a few."""
+        """Spread entry VMs over the domains, and link each to a few others."""
         clock = clock_module.ManualClock()
         rig = cls(
             document=document,
@@ -80,13 +85,13 @@
         return rig
 
     def add_node(self, name: str, domain: str, count: int) -> Node:
-        """Start an entry VM; its links are those of a ring with chords."""
+        """Add an entry VM, linked to others in a ring with chords."""
         board = blackboard.Blackboard(name=name, failure_domain=domain)
         number = len(self.nodes)
         steps = {1, 2, max(1, count // 3), max(1, count // 2)}
         peers = {
             f"vm-{(number + sign * step) % count}"
-            for step in list(steps)[:LINKS]
+            for step in list(steps)[:LINK_STEPS]
             for sign in (1, -1)
         }
         hub = platform_fakes.FakeHub(name, sorted(peers - {name}), self.queue)
@@ -107,7 +112,7 @@
         return node
 
     def publish(self, document: dict) -> None:
-        """Put a document into force everywhere."""
+        """Put a document in force on all entry VMs."""
         revision = 1 + max(
             n.board.config.revision if n.board.config else 0
             for n in self.nodes
@@ -116,7 +121,7 @@
             node.board.config = blackboard.ConfigInForce.from_config(
                 revision, document
             )
-            for pool, version_names in self.list_loaded(document):
+            for pool, version_names in self.list_endpoints(document):
                 node.board.endpoints[pool] = blackboard.Endpoint(
                     name=pool,
                     pool="matchers",
@@ -126,25 +131,25 @@
                 )
 
     @staticmethod
-    def list_loaded(document: dict) -> list[tuple[str, frozenset[str]]]:
-        """Four endpoints that have every version."""
+    def list_endpoints(document: dict) -> list[tuple[str, frozenset[str]]]:
+        """Four endpoints that have every version, as names and versions."""
         names = frozenset(
             v["name"] for m in document["models"] for v in m["versions"]
         )
         return [(f"matchers-{number}", names) for number in range(4)]
 
     async def tick(self) -> None:
-        """Let a second pass everywhere."""
+        """Advance the whole cluster by a second."""
         self.clock.advance(1_000)
         live = [node for node in self.nodes if node.alive]
         for node in live:
             for peer in live:
-                self._hear(node, peer)
+                self._update_member(node, peer)
         for node in live:
             await self._run_node(node)
         await self._deliver()
 
-    def _hear(self, node: Node, peer: Node) -> None:
+    def _update_member(self, node: Node, peer: Node) -> None:
         pair = frozenset(
             {node.board.failure_domain, peer.board.failure_domain}
         )
@@ -189,7 +194,7 @@
             pass
 
     async def _deliver(self) -> None:
-        """Hand over the tick's messages, except across cuts."""
+        """Deliver the queued messages, except between separated domains."""
         by_name = {node.name: node for node in self.nodes if node.alive}
         sent, self.queue[:] = list(self.queue), []
         for sender, receiver, kind, body in sent:
@@ -209,7 +214,10 @@
         task: str,
         pins: dict[str, str] | None = None,
     ) -> str:
-        """Answer one request at once; return the version that answered."""
+        """Answer one request at once; return the version that answered.
+
+        Returns an empty string if the request is refused.
+        """
         config = node.board.config
         assert config is not None
         self.request_count += 1
@@ -248,7 +256,7 @@
         return version
 
     def open_session(self, node: Node, customer: str) -> dict[str, str]:
-        """Open a session and return its pins."""
+        """Open a session and return its pinned versions."""
         config = node.board.config
         assert config is not None
         self.request_count += 1
@@ -257,7 +265,7 @@
         )
 
     def progress(self, name: str, node: int = 0) -> rollout.Progress:
-        """Where a roll-out stands, as one entry VM sees it."""
+        """A roll-out's progress as one entry VM sees it."""
         return self.nodes[node].rollouts.find_progress(name)
 
 
@@ -267,7 +275,7 @@
     rated_share: float = 0.2,
     **rollout_fields: typing.Any,
 ) -> dict:
-    """A document with one task, and a roll-out from scribe-7 to scribe-8."""
+    """Make a document with a roll-out from scribe-7 to scribe-8."""
     document = {
         "format": declaration.FORMAT,
         "models": [
--- a/tests/cover/test_orders.py
+++ b/tests/cover/test_orders.py
@@ -1,4 +1,4 @@
-"""Which endpoints may change at once, and which orders are due."""
+"""Tests which endpoints may change at the same time, and due orders."""
 
 import typing
 
@@ -23,7 +23,7 @@
 def make_members(
     old: int, new: int, silent: int = 0
 ) -> list[orders.EndpointStatus]:
-    """A pool some of whose endpoints are behind."""
+    """Make a pool: out of date, up to date and silent endpoints."""
     return [
         orders.EndpointStatus(
             name=f"matchers-{number}",
@@ -35,7 +35,7 @@
 
 
 def test_no_more_change_at_once_than_the_pool_allows():
-    """A roll-out must not empty a pool, however small it is."""
+    """A change must not empty a pool, however small the pool is."""
     choose = orders.choose_changing
     assert len(choose(POOL, ORDER, make_members(12, 0), 99)[0]) == 3
     assert len(choose(POOL, ORDER, make_members(2, 0), 99)[0]) == 1
@@ -43,12 +43,12 @@
 
 
 def test_change_waits_while_endpoints_are_silent_and_says_which():
-    """A pool that is failing must not be changed as well."""
-    chosen, held = orders.choose_changing(
+    """A pool whose endpoints are failing must not be changed as well."""
+    chosen, silent = orders.choose_changing(
         POOL, ORDER, make_members(9, 0, silent=3), 99
     )
     assert chosen == []
-    assert held == ["matchers-10", "matchers-11", "matchers-9"]
+    assert silent == ["matchers-10", "matchers-11", "matchers-9"]
     done = make_members(0, 9, silent=3)
     assert orders.choose_changing(POOL, ORDER, done, 99) == ([], [])
 
@@ -56,30 +56,30 @@
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
 @hypothesis.given(strategies.integers(1, 40), strategies.randoms())
 def test_walk_through_a_pool_ends_and_keeps_the_cap(size, draw):
-    """Whatever finishes first, each is changed once and the cap holds."""
+    """In any order of completion, each changes once within the cap."""
     behind = {f"e{number}" for number in range(size)}
-    everyone = sorted(behind)
+    names = sorted(behind)
     cap = orders.compute_change_limit(POOL, size)
     rounds = 0
-    begun: set[str] = set()
+    started: set[str] = set()
     while behind:
         members = [
             orders.EndpointStatus(
                 name=name, versions=OLD if name in behind else NEW
             )
-            for name in everyone
+            for name in names
         ]
         chosen, _ = orders.choose_changing(POOL, ORDER, members, 99)
         assert 0 < len(chosen) <= cap
-        begun |= set(chosen)
-        assert len(begun & behind) <= cap
+        started |= set(chosen)
+        assert len(started & behind) <= cap
         behind.discard(draw.choice(chosen))
         rounds += 1
     assert rounds == size
 
 
 def test_older_view_lets_fewer_change_than_a_newer_one():
-    """Two entry VMs differ by a report; their sum must keep the cap."""
+    """Two entry VMs' views differ by a report; together they keep the cap."""
     newer = make_members(10, 2)
     older = make_members(11, 1)
     seen = set(orders.choose_changing(POOL, ORDER, newer, 99)[0])
@@ -88,33 +88,33 @@
 
 
 def test_old_order_is_not_sent_over_a_newer_one():
-    """An entry VM that woke up finds a higher number and leaves it."""
+    """An entry VM that resumes after a pause finds a higher number."""
     newer = orders.Order(fencing=8, versions=("sorter-3",), role="mixed")
     assert not orders.is_due(ORDER, newer, may_change=True)
 
 
 def test_endpoint_that_took_an_old_order_is_ordered_again():
-    """It does not check numbers; reading its state shows the old one."""
+    """An endpoint that does not check fencing numbers reports an old one."""
     stale = orders.Order(fencing=5, versions=("sorter-3",), role="mixed")
     assert orders.is_due(ORDER, stale, may_change=True)
     assert not orders.is_due(ORDER, stale, may_change=False)
-    forged = orders.Order(fencing=7, versions=("sorter-3",), role="mixed")
-    assert orders.is_due(ORDER, forged, may_change=True)
+    mismatched = orders.Order(fencing=7, versions=("sorter-3",), role="mixed")
+    assert orders.is_due(ORDER, mismatched, may_change=True)
 
 
 def test_order_that_is_held_is_not_sent_again():
-    """Its answer was lost after it took effect."""
+    """The order took effect, but its answer was lost."""
     assert not orders.is_due(ORDER, ORDER, may_change=True)
 
 
 def test_change_of_role_needs_no_place_among_the_changing():
-    """Nothing is loaded for it, so it empties nothing."""
+    """A change of role loads nothing, so it cannot empty the pool."""
     other = orders.Order(fencing=6, versions=ORDER.versions, role="decode")
     assert orders.is_due(ORDER, other, may_change=False)
 
 
 def test_one_entry_vm_orders_an_endpoint_and_the_next_takes_over():
-    """All agree on who orders, and on who follows when it has gone."""
+    """All agree on who sends the orders, and on who is next without it."""
     names = [f"oduya-{number}" for number in range(8)]
     for number in range(20):
         endpoint = f"matchers-{number}"
@@ -125,32 +125,32 @@
     assert orders.choose_sender("matchers-1", []) == ""
 
 
-class PausedClient:
-    """An endpoint's client during whose reading something happens."""
+class PausingClient:
+    """Client that calls ``during_read`` while it reads an endpoint's state."""
 
-    def __init__(self, meanwhile) -> None:
-        self.meanwhile = meanwhile
+    def __init__(self, during_read) -> None:
+        self.during_read = during_read
         self.sent: list[orders.Order] = []
 
     async def fetch(self, endpoint) -> orders.Order:
-        """An endpoint that is behind; time passes while it is read."""
-        self.meanwhile()
+        """Return the state of an endpoint that is out of date."""
+        self.during_read()
         return orders.Order(fencing=1, versions=("sorter-3",), role="mixed")
 
     async def send(self, endpoint, order, may_send) -> bool:
-        """Send only if it may still be sent."""
+        """Record the order if it may still be sent."""
         if may_send():
             self.sent.append(order)
         return True
 
 
-def order_with_pause(meanwhile) -> list[orders.Order]:
-    """What is sent when ``meanwhile`` happens between read and send."""
+def collect_orders_with_pause(during_read) -> list[orders.Order]:
+    """The orders sent when ``during_read`` runs between read and send."""
     document = quality_rig.make_document(STAGES)
     rig = quality_rig.Rig.from_config(document, ["hall-a"], 1, lambda _: True)
     board = rig.nodes[0].board
     board.current_as_of_ms = 0.0
-    client = PausedClient(lambda: meanwhile(rig))
+    client = PausingClient(lambda: during_read(rig))
     clock: typing.Any = rig.clock
     controller = orders_controller.OrdersController(
         board, clock, typing.cast(typing.Any, client), None
@@ -173,11 +173,15 @@
 
 
 def test_order_is_not_sent_on_old_grounds():
-    """The process is stopped between its check and the send.
+    """The process is paused between its check and the send.
 
-    Meanwhile another document came into force, or too much time passed;
-    an endpoint that checks no numbers would take the old order.
+    Meanwhile another document came into force, or too much time passed; an
+    endpoint that does not check fencing numbers would accept the old order.
     """
-    assert len(order_with_pause(lambda rig: None)) == 1
-    assert order_with_pause(lambda rig: rig.publish(rig.document)) == []
-    assert order_with_pause(lambda rig: rig.clock.advance(1_500)) == []
+    assert len(collect_orders_with_pause(lambda rig: None)) == 1
+    assert (
+        collect_orders_with_pause(lambda rig: rig.publish(rig.document)) == []
+    )
+    assert (
+        collect_orders_with_pause(lambda rig: rig.clock.advance(1_500)) == []
+    )
--- a/tests/cover/test_planning.py
+++ b/tests/cover/test_planning.py
@@ -14,7 +14,7 @@
     service is silent that evidence goes stale, so the operator's declared
     plan is used.
     """
-    mix = quality_cost.MIXES[0]
+    mix = quality_cost.WORKLOADS[0]
     rig = quality_cost.make_cost_rig(mix, clock_module.ManualClock())
     board = rig.nodes[0].board
     assert board.config is not None
--- a/tests/failures/test_agreed_config.py
+++ b/tests/failures/test_agreed_config.py
@@ -1,4 +1,4 @@
-"""A configuration on its way to every node, past failures."""
+"""Configuration reaches every node despite failures."""
 
 import pathlib
 import subprocess
@@ -27,7 +27,7 @@
 def write_changed(
     running: deployment.Deployment, name: str, **changes: object
 ) -> str:
-    """Write a declaration with sorter-3 changed."""
+    """Write the declaration with ``changes`` made to sorter-3."""
     document = yaml.safe_load(
         pathlib.Path(running.plan.declaration).read_text()
     )
@@ -38,7 +38,7 @@
 
 
 def read_status(vm: deployment.EntryProcess) -> dict:
-    """An entry VM's own account of its state."""
+    """Fetch an entry VM's status."""
     reply = deployment.call(
         "GET", vm.operators, "/v1/status", None, once.OPERATORS
     )
@@ -47,15 +47,16 @@
 
 
 def list_revisions(vms: list[deployment.EntryProcess]) -> list[int]:
-    """The revision in force on each of these."""
+    """The revision in force on each of these entry VMs."""
     return [read_status(vm)["revision"] for vm in vms]
 
 
 def test_revision_reaches_a_node_that_the_log_does_not():
     """A publish takes effect while one VM gets no answer from the log.
 
-    It learns of it through its peers, and stays fresh by their vouches. The
-    lost answer of the append must not make the operator publish twice.
+    That VM learns of it from its peers, and their answers keep its
+    configuration fresh. The lost answer of the append must not lead the
+    operator to publish twice.
     """
     with once.run_linked(SMALL) as running:
         cut, *rest = running.entry_vms
@@ -76,9 +77,9 @@
 
 
 def test_nodes_cut_off_from_the_log_freeze_roll_outs():
-    """The log is silent to all VMs for longer than the lease.
+    """The log does not answer any VM for longer than the lease.
 
-    Vouches going round between them must not keep them fresh.
+    The VMs' answers to each other must not keep them fresh.
     """
     with once.run_linked(SMALL) as running:
         assert all(read_status(vm)["fresh"] for vm in running.entry_vms)
@@ -95,10 +96,10 @@
 
 
 def test_configuration_outlives_the_logs_retention_and_all_first_nodes():
-    """The log keeps few records, and every VM is replaced in turn.
+    """The log retains few records, and every VM is replaced in turn.
 
-    What the first operator published has long left the log. Each new VM
-    must start with the newest revision, from snapshots and peers.
+    The log no longer has the first operator's publish. Each new VM must start
+    with the newest revision, from snapshots and peers.
     """
     with once.run_linked(SMALL) as running:
         running.switch("log", retain=8)
@@ -117,12 +118,12 @@
         assert once.wait_until(
             lambda: min(list_revisions(running.entry_vms)) >= newest
         )
-        shown = subprocess_show(running)
+        shown = run_show(running)
         assert f'"revision": {newest}' in shown
 
 
 def try_publish(running: deployment.Deployment, file: str) -> bool:
-    """Publish, unless the log has no copy to judge the publish by yet."""
+    """Publish; return False if the log has no snapshot yet to validate by."""
     try:
         running.publish(file)
     except subprocess.CalledProcessError as fault:
@@ -131,8 +132,8 @@
     return True
 
 
-def subprocess_show(running: deployment.Deployment) -> str:
-    """What the operators' tool reads from the log alone."""
+def run_show(running: deployment.Deployment) -> str:
+    """Run the operators' ``show`` command, which reads only the log."""
     log = f"http://{running.addresses['log']}"
     done = subprocess.run(
         ["python", "-m", "carawayward.command", "show", "--log", log],
@@ -144,10 +145,10 @@
 
 
 def test_withdrawn_version_ends_its_sessions_on_every_node():
-    """A version is withdrawn while a session is settled on it.
+    """A version is withdrawn while sessions are pinned to it.
 
-    Another VM honours the token, and refuses: the session may not be moved
-    to another version, and the withdrawn one takes no work.
+    Another VM accepts the session and refuses its requests: a session may not
+    be moved to another version, and a withdrawn version must not run.
     """
     body = {
         "model": "swap-suggestion",
--- a/tests/failures/test_agreed_membership.py
+++ b/tests/failures/test_agreed_membership.py
@@ -1,4 +1,4 @@
-"""Endpoints that leave, vanish from the list, or are known to peers only."""
+"""Endpoints that leave, vanish from the list, or are known only to peers."""
 
 import time
 
@@ -18,16 +18,16 @@
 
 
 def show_endpoints(vm: deployment.EntryProcess) -> dict[str, bool]:
-    """Endpoints that an entry VM knows, and whether each is leaving."""
+    """Whether each endpoint known to an entry VM is leaving, by name."""
     shown = config.read_status(vm)["endpoints"]
     return {each["name"]: each["leaving"] for each in shown}
 
 
 def test_leaving_endpoint_gets_nothing_new_while_the_platform_is_down():
-    """An engine begins to leave while list and log are down.
+    """An engine starts to leave while the list and the log are down.
 
-    Only the engine itself says so. Within a few seconds no entry VM may
-    send it anything, or the work is cut off with it.
+    Only the engine itself reports it. Within a few seconds no entry VM may
+    send it new work, which would be lost when it stops.
     """
     with once.run_linked(SMALL) as running:
         running.switch("vms", down=True)
@@ -56,9 +56,9 @@
 
 
 def test_newcomer_without_a_list_learns_endpoints_from_its_peers():
-    """The platform's list is down and an entry VM is replaced.
+    """An entry VM is replaced while the platform's list is down.
 
-    It has to serve: its peers know the endpoints.
+    It must become ready and serve: its peers know the endpoints.
     """
     with once.run_linked(SMALL) as running:
         running.switch("vms", down=True)
@@ -72,7 +72,7 @@
 
 
 def is_ready(vm: deployment.EntryProcess) -> bool:
-    """Whether an entry VM takes requests."""
+    """Whether an entry VM accepts requests."""
     try:
         return deployment.call("GET", vm.callers, "/readyz").status == 200
     except (httpcore.NetworkError, httpcore.ProtocolError):
@@ -80,9 +80,9 @@
 
 
 def test_endpoint_that_the_list_has_lost_is_kept_while_it_answers():
-    """The list is wrong for a while: it shows no endpoint at all.
+    """The list is wrong for a while and shows no endpoint at all.
 
-    Dropping what answers would be an outage made by the list.
+    Dropping endpoints that answer would turn the list's fault into an outage.
     """
     with once.run_linked(SMALL) as running:
         address = running.addresses["vms"]
--- a/tests/failures/test_quality_console.py
+++ b/tests/failures/test_quality_console.py
@@ -1,7 +1,7 @@
-"""The console and the tool by HTTP and as processes, two operators at once.
+"""The console over HTTP and the command-line tool, with two operators.
 
-No browser with an engine is installed here; the pages are driven by a small
-one without scripts that sends real forms over HTTP.
+No browser engine is installed here; the pages are driven by a small test
+browser without scripts, which sends real forms over HTTP.
 """
 
 import json
@@ -23,7 +23,7 @@
 def open_console(
     running: deployment.Deployment, vm: int, name: str
 ) -> browser_module.Browser:
-    """A logged-in operator at one entry VM."""
+    """Log an operator in at one entry VM."""
     browser = browser_module.Browser(running.entry_vms[vm].operators)
     page = browser.log_in(name, KEY)
     assert page.status == 200 and "Revision" in page.text
@@ -31,28 +31,30 @@
 
 
 def edit(browser: browser_module.Browser, section: str) -> tuple:
-    """Open a new draft at a section."""
+    """Open a new draft at a section; return the page and its form."""
     page = browser.open(f"/console/edit?section={section}")
     assert page.status == 200, page.text
     return page, page.find_form("/console/edit")
 
 
 def read_document(running: deployment.Deployment) -> dict:
-    """What the log says is in force."""
+    """Read the document in force from the log."""
     log = f"http://{running.addresses['log']}"
     return json.loads(test_product_tools.run_tool("show", "--log", log).stdout)
 
 
-def wait_for(what: typing.Callable[[], bool]) -> None:
-    """Wait until something holds."""
+def wait_until(what: typing.Callable[[], bool]) -> None:
+    """Wait until ``what`` returns True."""
     deadline = time.monotonic() + 20
     while not what():
-        assert time.monotonic() < deadline, "it did not come about"
+        assert time.monotonic() < deadline, (
+            "condition did not become true within 20 s"
+        )
         time.sleep(0.1)
 
 
 def check_logins(running: deployment.Deployment) -> None:
-    """Strangers, wrong keys and forged forms get nowhere."""
+    """Strangers, wrong keys and forged forms are refused."""
     address = running.entry_vms[0].operators
     stranger = browser_module.Browser(address)
     assert stranger.open("/console/").path == "/console/login"
@@ -69,8 +71,8 @@
     assert operator.open("/console/style.css").status == 200
 
 
-def check_half_filled(running: deployment.Deployment) -> None:
-    """A new customer without a name cannot be published."""
+def check_incomplete_form(running: deployment.Deployment) -> None:
+    """A new customer without a name, or an invalid weight, is refused."""
     operator = open_console(running, 0, "ada")
     _, form = edit(operator, "customers")
     page = operator.press(form, "add:customers")
@@ -84,8 +86,8 @@
     assert "/console/publish" not in page.text
 
 
-def check_publish_and_race(running: deployment.Deployment) -> None:
-    """Two operators at two entry VMs draw drafts of one revision."""
+def check_conflicting_publishes(running: deployment.Deployment) -> None:
+    """Two operators at two entry VMs edit drafts of the same revision."""
     ada = open_console(running, 0, "ada")
     bayo = open_console(running, 1, "bayo")
     _, first = edit(ada, "customers")
@@ -100,31 +102,31 @@
     conflict = bayo.press(late.find_form("/console/publish"), "")
     assert conflict.status == 409
     assert "customers.yaba-schools.weight" in conflict.text
-    taken = bayo.press(conflict.find_form("/console/rebase"), "")
-    assert "tasks.swap-suggestion.deadline_ms" in taken.text
-    assert "customers.yaba-schools" not in taken.text.partition("<form")[0]
-    bayo.press(taken.find_form("/console/publish"), "")
+    rebased = bayo.press(conflict.find_form("/console/rebase"), "")
+    assert "tasks.swap-suggestion.deadline_ms" in rebased.text
+    assert "customers.yaba-schools" not in rebased.text.partition("<form")[0]
+    bayo.press(rebased.find_form("/console/publish"), "")
     document = read_document(running)["document"]
     assert document["customers"][1]["weight"] == 9.0
     assert document["tasks"][0]["deadline_ms"] == 15_000
 
 
 def check_confirmations(running: deployment.Deployment) -> None:
-    """Every entry VM shows that both have the newest revision."""
+    """The console shows that both entry VMs have the newest revision."""
     operator = open_console(running, 1, "ada")
     revision = read_document(running)["revision"]
 
-    def confirmed() -> bool:
+    def is_confirmed() -> bool:
         page = operator.open("/console/").text
         return (
             f"Revision {revision}" in page and page.count("in force</sp") == 2
         )
 
-    wait_for(confirmed)
+    wait_until(is_confirmed)
 
 
 def check_withdrawal(running: deployment.Deployment) -> None:
-    """A version is withdrawn by a button, a review and a publish."""
+    """A version is withdrawn: button, review, publish."""
     operator = open_console(running, 0, "ada")
     page = operator.open("/console/")
     form = page.find_form("/console/withdraw")
@@ -138,15 +140,15 @@
 
 
 def test_operators_edit_publish_race_and_withdraw_in_the_console():
-    """A newcomer's first week: mistakes, a race, a withdrawal.
+    """Operators make mistakes, publish at once, and withdraw a version.
 
-    The race is that of two operators who draw from one revision; the
-    second is shown both changes and takes his over onto the first's.
+    Two operators edit drafts of the same revision. The second to publish is
+    shown both changes, and rebases his own onto the first's.
     """
     with deployment.Deployment(test_whole_path.SMALL) as running:
         check_logins(running)
-        check_half_filled(running)
-        check_publish_and_race(running)
+        check_incomplete_form(running)
+        check_conflicting_publishes(running)
         check_confirmations(running)
         check_withdrawal(running)
 
@@ -162,11 +164,12 @@
 def test_tool_checks_compares_publishes_and_rolls_back_with_exit_codes():
     """A script keeps the declaration in version control.
 
-    It must tell a bad file (1), a race (3) and a silent platform (4)
-    apart, and a rollback must not bring a withdrawn version back unasked.
+    Exit codes must distinguish an invalid file (1), a conflicting publish (3)
+    and a platform that does not answer (4). A rollback must not restore a
+    withdrawn version unless asked to.
     """
     good = "examples/oduya.yaml"
-    # The whole example goes out, so that the file has no difference to it.
+    # Publish the whole example, so that the file does not differ from it.
     plan = attrs.evolve(test_whole_path.SMALL, quiet=False)
     with deployment.Deployment(plan) as running:
         bad = running.folder / "bad.yaml"
@@ -188,7 +191,10 @@
         assert run_on_log(running, "rollback").returncode == 0
         assert "no difference" in run_on_log(running, "diff", good).stdout
         assert run_on_log(running, "withdraw", "sorter-4").returncode == 0
-        unasked = run_on_log(running, "rollback")
-        assert unasked.returncode == 1 and "sorter-4" in unasked.stderr
+        plain_rollback = run_on_log(running, "rollback")
+        assert (
+            plain_rollback.returncode == 1
+            and "sorter-4" in plain_rollback.stderr
+        )
         running.switch("log", down=True)
         assert run_on_log(running, "diff", good).returncode == 4
--- a/tests/failures/test_quality_live.py
+++ b/tests/failures/test_quality_live.py
@@ -1,4 +1,4 @@
-"""A roll-out on running entry VMs, from the first canary to the halt."""
+"""A roll-out on running entry VMs, from the first canary to a halt."""
 
 import os
 import pathlib
@@ -18,7 +18,7 @@
 
 
 def make_plan() -> deployment.Plan:
-    """Three entry VMs and a roll-out whose stages last a second."""
+    """Plan three entry VMs, and a roll-out with stages of one second."""
     document = yaml.safe_load(pathlib.Path("examples/oduya.yaml").read_text())
     document["rollouts"][0]["stages"] = [
         {
@@ -47,7 +47,7 @@
     )
 
 
-def ask(vm: deployment.EntryProcess, number: int) -> str:
+def send_request(vm: deployment.EntryProcess, number: int) -> str:
     """Send one easy request; return the version that answered."""
     reply = deployment.call(
         "POST",
@@ -63,26 +63,26 @@
     return reply.json()["model"]
 
 
-def ask_until(
-    running: deployment.Deployment, holds: typing.Callable[[], bool]
+def send_until(
+    running: deployment.Deployment, condition: typing.Callable[[], bool]
 ) -> list[str]:
-    """Send requests through all entry VMs until something holds."""
+    """Send requests through all entry VMs until ``condition`` holds."""
     answered: list[str] = []
     deadline = time.monotonic() + WAIT_S
-    while not holds():
+    while not condition():
         assert time.monotonic() < deadline, read_log(running)
         for vm in running.entry_vms:
-            answered.append(ask(vm, len(answered)))
+            answered.append(send_request(vm, len(answered)))
     return answered
 
 
 def read_log(running: deployment.Deployment) -> list[dict]:
-    """All records of the stream of roll-outs."""
+    """All records of the roll-out stream."""
     return demo.read_stream_records(running, "rollouts")
 
 
-def list_states(running: deployment.Deployment) -> set[str]:
-    """How the roll-out stands, on each entry VM."""
+def list_rollout_states(running: deployment.Deployment) -> set[str]:
+    """The roll-out's state on each entry VM, without duplicates."""
     key = deployment.KEYS["operators"][0]
     auth = {"Authorization": f"Bearer {key}"}
     return {
@@ -100,21 +100,21 @@
 
 
 def test_bad_version_is_halted_on_every_entry_vm_and_resumed_by_tool():
-    """The new version answers, and every rating of it is bad.
+    """Every rating of the new version is bad.
 
-    Some callers get bad answers; within seconds every entry VM gives the
-    old version again. The operator, who found the fault elsewhere, resumes
-    the roll-out, and it is passed to the end.
+    Some callers get bad answers; within seconds every entry VM must use the
+    old version again. The operator, who found the cause elsewhere, resumes the
+    roll-out, which then completes.
     """
     with deployment.Deployment(make_plan()) as running:
         running.switch("ratings", good={"sorter-4": 0.0})
         log = f"http://{running.addresses['log']}"
         tool = test_product_tools.run_tool
-        answered = ask_until(running, lambda: is_halted(running))
+        answered = send_until(running, lambda: is_halted(running))
         assert 0 < answered.count("sorter-4") <= 2 * 6
         time.sleep(2.0)
         for number, vm in enumerate(running.entry_vms * 10):
-            assert ask(vm, 10_000 + number) == "sorter-3"
+            assert send_request(vm, 10_000 + number) == "sorter-3"
         shown = tool("rollouts", "--log", log).stdout
         assert "halted: worse than its baseline" in shown
         status = tool("status", running.entry_vms[1].operators).stdout
@@ -123,7 +123,7 @@
         name = "sorter-4-december"
         resumed = tool("resume", name, "--log", log)
         assert resumed.returncode == 0, resumed
-        ask_until(running, lambda: list_states(running) == {"done"})
+        send_until(running, lambda: list_rollout_states(running) == {"done"})
         for number, vm in enumerate(running.entry_vms):
-            given = ask(vm, 20_000 + number)
-            assert given == "sorter-4", (vm.name, given, read_log(running))
+            version = send_request(vm, 20_000 + number)
+            assert version == "sorter-4", (vm.name, version, read_log(running))
--- a/tests/failures/test_quality_orders.py
+++ b/tests/failures/test_quality_orders.py
@@ -1,4 +1,4 @@
-"""Orders to endpoints as processes: caps, fencing, lost answers, pauses."""
+"""Orders to endpoint processes: caps, fencing, lost answers, pauses."""
 
 import os
 import pathlib
@@ -17,7 +17,7 @@
 
 
 def make_plan(endpoints: int, **pool: typing.Any) -> deployment.Plan:
-    """Two entry VMs and a pool that has only the old version loaded."""
+    """Plan two entry VMs, and a pool that has only the old version loaded."""
     document = yaml.safe_load(pathlib.Path("examples/oduya.yaml").read_text())
     document["rollouts"] = []
     document["pools"] = [
@@ -49,7 +49,7 @@
 def publish_versions(
     running: deployment.Deployment, versions: list[str]
 ) -> None:
-    """Publish the same document with other versions for the pool."""
+    """Publish the document with other versions for the pool."""
     path = running.plan.declaration
     document = yaml.safe_load(pathlib.Path(path).read_text())
     document["pools"][0]["versions"] = versions
@@ -58,7 +58,7 @@
 
 
 def read(running: deployment.Deployment, name: str, path: str) -> typing.Any:
-    """What a stand-in tells."""
+    """Fetch JSON from a simulated endpoint or service."""
     return deployment.call("GET", running.addresses[name], path).json()
 
 
@@ -76,8 +76,8 @@
     raise AssertionError(f"loaded: {loaded}, wanted: {wanted}")
 
 
-def count_at_once(running: deployment.Deployment) -> int:
-    """The most endpoints that were changing at one moment."""
+def count_max_concurrent(running: deployment.Deployment) -> int:
+    """The largest number of endpoints that were changing at the same time."""
     spans = [
         (order["began"], order["ended"])
         for name in running.pools["matchers"]
@@ -85,7 +85,8 @@
         if order["ended"] > order["began"]
     ]
     return max(
-        sum(began <= at < ended for began, ended in spans) for at, _ in spans
+        sum(started_at <= at < ended for started_at, ended in spans)
+        for at, _ in spans
     )
 
 
@@ -95,8 +96,8 @@
 def test_pool_is_changed_a_few_endpoints_at_a_time_and_paced():
     """A version is added to a pool of six; a third may change at once.
 
-    The weight store serves two loads at a time. Callers must find
-    endpoints all the while, and the store must refuse no load.
+    The weight store serves two loads at a time. Callers must find available
+    endpoints throughout, and the store must not have to refuse a load.
     """
     with deployment.Deployment(make_plan(6)) as running:
         store = running.addresses["weights"]
@@ -104,16 +105,17 @@
             running.switch(name, weights=store)
         publish_versions(running, NEW)
         wait_until_loaded(running, set(NEW))
-        assert count_at_once(running) <= 2
+        assert count_max_concurrent(running) <= 2
         loads = read(running, "weights", "/loads")
         assert loads == {"served": 6, "refused": 0}
 
 
 def test_lost_order_answers_do_not_load_twice():
-    """Every endpoint takes its first order and the answer is lost.
+    """Every endpoint accepts its first order, and the answer is lost.
 
-    The entry VM cannot tell whether it was taken; it must look before it
-    sends again, since a second load would empty the pool once more.
+    The entry VM cannot tell whether the order was accepted. It must read the
+    state before it sends again, since a second load would empty the pool once
+    more.
     """
     with deployment.Deployment(make_plan(2)) as running:
         for name in running.pools["matchers"]:
@@ -124,8 +126,8 @@
             assert len(read(running, name, "/orders")) == 1
 
 
-def check_old_order(ignore_fencing: bool, status: int) -> None:
-    """Send an endpoint an old order, as an entry VM that wakes up would."""
+def check_outdated_order(ignore_fencing: bool, status: int) -> None:
+    """Send an outdated order, as an entry VM would after a pause."""
     with deployment.Deployment(make_plan(2)) as running:
         publish_versions(running, NEW)
         wait_until_loaded(running, set(NEW))
@@ -140,20 +142,21 @@
 
 
 def test_old_order_is_refused_by_an_endpoint_that_checks():
-    """A paused entry VM wakes up and sends what it had decided."""
-    check_old_order(ignore_fencing=False, status=409)
+    """An entry VM resumes after a pause and sends an outdated order."""
+    check_outdated_order(ignore_fencing=False, status=409)
 
 
 def test_old_order_is_undone_at_an_endpoint_that_does_not_check():
-    """It takes the old order; the next reading of its state repairs it."""
-    check_old_order(ignore_fencing=True, status=200)
+    """The endpoint accepts the old order; the next read repairs it."""
+    check_outdated_order(ignore_fencing=True, status=200)
 
 
 def test_paused_orderer_wakes_up_after_another_publish():
-    """One of two entry VMs is stopped for seconds, then goes on.
+    """One of two entry VMs is stopped for seconds, then resumes.
 
-    Meanwhile a newer document is published. Its old grounds must not be
-    acted on, and every endpoint ends with the newer document's versions.
+    Meanwhile a newer document is published. The resumed entry VM must not act
+    on the state that it read before, and every endpoint must end with the
+    newer document's versions.
     """
     with deployment.Deployment(make_plan(4)) as running:
         for name in running.pools["matchers"]:
--- a/tests/failures/test_quality_rollouts.py
+++ b/tests/failures/test_quality_rollouts.py
@@ -1,4 +1,4 @@
-"""Versions that go bad, ratings that fail, roll-outs that are cut short.
+"""Bad versions, failing ratings, and interrupted roll-outs.
 
 The daemon's own controllers run in one process and in virtual time.
 """
@@ -17,7 +17,7 @@
 
 
 def make_stages(dwell_s: int = 60, evidence: int = 20) -> list[dict]:
-    """Three stages that widen; the same budget for each domain."""
+    """Three stages with growing shares, and equal budgets for all domains."""
     return [
         {
             "share": share,
@@ -35,7 +35,7 @@
     count: int = 9,
     **fields: typing.Any,
 ) -> quality_rig.Rig:
-    """Run a test's steps on a rig of entry VMs."""
+    """Run a test's steps on a simulated cluster."""
     document = quality_rig.make_document(
         fields.pop("stages", make_stages()), **fields
     )
@@ -54,7 +54,7 @@
     until: typing.Callable[[], bool] = lambda: False,
     rate: int = 9,
 ) -> bool:
-    """Send ``rate`` requests a second; True as soon as ``until`` holds."""
+    """Send ``rate`` requests a second; return True once ``until`` holds."""
     for _ in range(seconds):
         live = [node for node in rig.nodes if node.alive]
         for number in range(rate):
@@ -69,12 +69,12 @@
 
 
 def is_good(answer: dict, share: float = 0.96) -> bool:
-    """Rate an answer that is good with the given chance."""
+    """Rate an answer good with the given probability."""
     return platform_fakes.hash_fraction(answer["id"], "good") < share
 
 
-def halted_everywhere(rig: quality_rig.Rig) -> bool:
-    """Whether each live entry VM has halted the roll-out."""
+def is_halted_everywhere(rig: quality_rig.Rig) -> bool:
+    """Whether every live entry VM has halted the roll-out."""
     return all(
         node.rollouts.find_progress("scribe-8").halted
         for node in rig.nodes
@@ -82,33 +82,33 @@
     )
 
 
-def in_stage(rig: quality_rig.Rig, stage: int) -> typing.Callable[[], bool]:
-    """A condition for ``serve``."""
+def has_reached(rig: quality_rig.Rig, stage: int) -> typing.Callable[[], bool]:
+    """Make a condition for ``serve``: the roll-out has reached a stage."""
     return lambda: rig.progress("scribe-8").stage >= stage
 
 
 def list_advances(rig: quality_rig.Rig) -> list[dict]:
-    """All advances in the log, those without effect too."""
+    """All advances in the log, including those without effect."""
     data = [record.data for record in rig.log.records]
     return [item for item in data if item["kind"] == "advance"]
 
 
-def stage_is_written(
+def is_advance_logged(
     rig: quality_rig.Rig, stage: int
 ) -> typing.Callable[[], bool]:
-    """A condition for ``serve``."""
+    """Make a condition for ``serve``: the log has a stage's advance."""
     return lambda: len(list_advances(rig)) > stage
 
 
 def test_good_version_passes_every_stage_and_takes_all_traffic():
     """A new version that is as good as the old one is rolled out.
 
-    Each stage waits for its dwell and its ratings; at the end new sessions
-    get the new version, and nothing was advanced twice.
+    Each stage lasts until its dwell time has passed and its ratings are in. At
+    the end new sessions get the new version, and no stage was advanced twice.
     """
 
     async def steps(rig: quality_rig.Rig) -> None:
-        assert await serve(rig, 1_500, in_stage(rig, 3))
+        assert await serve(rig, 1_500, has_reached(rig, 3))
         assert (
             rig.send_request(rig.nodes[4], "oak-stage", "stage-note")
             == "scribe-8"
@@ -118,8 +118,10 @@
     assert [item["stage"] for item in list_advances(rig)] == [0, 1, 2, 3]
 
 
-def check_bad_from(stage: int, share: float, limit: int, most: int) -> None:
-    """A version that turns bad in a stage is halted with few answers out."""
+def check_halted_when_bad_from(
+    stage: int, share: float, timeout_s: int, limit: int
+) -> None:
+    """Check the halt and exposure of a version that turns bad in a stage."""
     state = {"bad": False}
 
     def judge(answer: dict) -> bool:
@@ -127,11 +129,11 @@
         return is_good(answer, share if bad else 0.96)
 
     async def steps(rig: quality_rig.Rig) -> None:
-        assert await serve(rig, 1_500, in_stage(rig, stage))
+        assert await serve(rig, 1_500, has_reached(rig, stage))
         state["bad"] = True
         rig.answers_by_version.clear()
-        assert await serve(rig, limit, lambda: halted_everywhere(rig))
-        assert rig.answers_by_version.get("scribe-8", 0) <= most, (
+        assert await serve(rig, timeout_s, lambda: is_halted_everywhere(rig))
+        assert rig.answers_by_version.get("scribe-8", 0) <= limit, (
             rig.answers_by_version
         )
         await serve(rig, 5)
@@ -147,43 +149,45 @@
 
 
 def test_version_that_breaks_in_the_first_stage_is_halted():
-    """Every answer of the new version is bad from one moment on.
+    """From some moment on every answer of the new version is bad.
 
-    Few have been given; the halt must come within the domains' budgets.
+    It has given few answers so far; the halt must come within the domains'
+    budgets.
     """
-    check_bad_from(0, 0.0, 120, 3 * BUDGET)
+    check_halted_when_bad_from(0, 0.0, 120, 3 * BUDGET)
 
 
 def test_version_that_breaks_in_the_second_stage_is_halted():
-    """A longer good time must not delay the halt."""
-    check_bad_from(1, 0.0, 120, 60)
+    """A longer time of good answers must not delay the halt."""
+    check_halted_when_bad_from(1, 0.0, 120, 60)
 
 
 def test_version_that_breaks_in_the_last_stage_is_halted():
     """All traffic is on the new version when it breaks.
 
-    Then answers go out at the full rate until the ratings are back.
+    Answers are then given at the full rate until the first ratings arrive.
     """
-    check_bad_from(2, 0.0, 120, 120)
+    check_halted_when_bad_from(2, 0.0, 120, 120)
 
 
 def test_version_that_breaks_after_its_roll_out_is_done_is_halted():
-    """The roll-out is over but still declared; the old version is kept.
+    """The roll-out is complete but still declared.
 
-    Traffic goes back to the old version, which endpoints still have.
+    Traffic returns to the old version, which endpoints still have.
     """
-    check_bad_from(3, 0.0, 120, 200)
+    check_halted_when_bad_from(3, 0.0, 120, 200)
 
 
 def test_version_that_declines_slowly_is_halted():
-    """A third of the answers is bad, which no single rating shows."""
-    check_bad_from(1, 0.66, 400, 250)
+    """A third of the answers are bad, which no single rating shows."""
+    check_halted_when_bad_from(1, 0.66, 400, 250)
 
 
 def test_version_that_gets_worse_minute_by_minute_is_halted():
-    """Each minute a twentieth more of its answers is bad.
+    """Each minute another twentieth of the version's answers is bad.
 
-    No moment is a break; the windows over minutes must add it up.
+    There is no sudden break; the windows over minutes must accumulate the
+    evidence.
     """
     began = {"ms": 0.0}
 
@@ -197,17 +201,17 @@
 
     async def steps(rig: quality_rig.Rig) -> None:
         rigs.append(rig)
-        assert await serve(rig, 1_500, in_stage(rig, 1))
+        assert await serve(rig, 1_500, has_reached(rig, 1))
         began["ms"] = rig.clock.now_ms()
-        assert await serve(rig, 600, lambda: halted_everywhere(rig))
+        assert await serve(rig, 600, lambda: is_halted_everywhere(rig))
 
     run(judge, steps)
 
 
 def test_version_bad_for_one_customer_only_is_halted():
-    """One customer's notes are all wrong; in the sum they are a sixth.
+    """All answers to one customer's task are bad: a sixth of the total.
 
-    The group of that customer's task shows what the sum hides.
+    The group of that customer's task shows what the total hides.
     """
 
     def judge(answer: dict) -> bool:
@@ -219,7 +223,7 @@
         return not hit and is_good(answer)
 
     async def steps(rig: quality_rig.Rig) -> None:
-        assert await serve(rig, 600, lambda: halted_everywhere(rig))
+        assert await serve(rig, 600, lambda: is_halted_everywhere(rig))
 
     rig = run(judge, steps)
     assert "oak-stage" in rig.progress("scribe-8").halted
@@ -228,31 +232,31 @@
 def test_ratings_that_come_minutes_late_bound_the_exposure():
     """Ratings take five minutes; the version is bad from the start.
 
-    Until the first rating is back only the budgets hold, and they must.
+    Until the first rating arrives only the budgets limit the exposure.
     """
 
     async def steps(rig: quality_rig.Rig) -> None:
         rig.service.delay_ms = 300_000
-        assert await serve(rig, 600, lambda: halted_everywhere(rig))
+        assert await serve(rig, 600, lambda: is_halted_everywhere(rig))
 
     rig = run(lambda a: a["version"] == "scribe-7" and is_good(a), steps)
     assert rig.answers_by_version["scribe-8"] <= len(DOMAINS) * BUDGET
 
 
 def test_roll_out_goes_on_when_a_third_of_ratings_is_lost():
-    """The service loses ratings; a good version must not starve on that."""
+    """Lost ratings must not use up a good version's budget for good."""
 
     async def steps(rig: quality_rig.Rig) -> None:
-        rig.service.lose = 0.33
-        assert await serve(rig, 1_500, in_stage(rig, 2))
+        rig.service.loss_rate = 0.33
+        assert await serve(rig, 1_500, has_reached(rig, 2))
 
     run(is_good, steps)
 
 
 def test_roll_out_waits_while_the_ratings_service_is_down():
-    """Nobody sees what the new version does; exposure must stop growing.
+    """Without ratings the exposure must stop growing.
 
-    When the service is back, the roll-out goes on by itself.
+    When the service is back, the roll-out continues by itself.
     """
 
     async def steps(rig: quality_rig.Rig) -> None:
@@ -262,17 +266,17 @@
         assert rig.progress("scribe-8").stage == 0
         assert not rig.nodes[0].board.quality.ratings_usable
         rig.service.down = False
-        assert await serve(rig, 600, in_stage(rig, 1))
+        assert await serve(rig, 600, has_reached(rig, 1))
 
     run(is_good, steps)
 
 
 def test_ratings_that_turn_harsh_for_both_versions_halt_nothing():
-    """The service begins to call a fifth of all good answers bad."""
+    """The service starts to rate a fifth of all good answers as bad."""
     state = {"share": 0.96}
 
     async def steps(rig: quality_rig.Rig) -> None:
-        assert await serve(rig, 600, in_stage(rig, 1))
+        assert await serve(rig, 600, has_reached(rig, 1))
         state["share"] = 0.77
         await serve(rig, 400)
         assert not rig.progress("scribe-8").halted
@@ -281,16 +285,16 @@
 
 
 def test_interrupted_roll_out_is_taken_up_by_another_entry_vm():
-    """Whoever appends a step is replaced at once, at each step.
+    """The entry VM that appends an advance is lost, at every stage.
 
-    Its answer from the log is lost with it. Others must go on from the
-    log, and no step may be taken twice.
+    The log's answer is lost with it. Others must continue from the log, and no
+    stage may be advanced twice.
     """
 
     async def steps(rig: quality_rig.Rig) -> None:
         for stage in range(4):
             rig.log.lose_answers = 1
-            assert await serve(rig, 900, stage_is_written(rig, stage)), stage
+            assert await serve(rig, 900, is_advance_logged(rig, stage)), stage
             writer = list_advances(rig)[stage]["node"]
             next(n for n in rig.nodes if n.name == writer).alive = False
             await serve(rig, 3)
@@ -301,26 +305,26 @@
 
 
 def test_halt_reaches_an_entry_vm_that_has_lost_the_log():
-    """hall-c has lost the log, not its peers; the version breaks.
+    """The version breaks while hall-c reaches its peers but not the log.
 
-    The halt must reach it by peers, and it must not undo it later.
+    The halt must reach hall-c by its peers, and must stay in force there.
     """
 
     async def steps(rig: quality_rig.Rig) -> None:
         lost = [n for n in rig.nodes if n.board.failure_domain == "hall-c"]
         await serve(rig, 5)
         rig.nodes_without_log |= {node.name for node in lost}
-        assert await serve(rig, 300, lambda: halted_everywhere(rig))
+        assert await serve(rig, 300, lambda: is_halted_everywhere(rig))
         assert "scribe-8" in lost[0].board.quality.halted
 
     run(lambda a: a["version"] == "scribe-7" and is_good(a), steps)
 
 
 def test_cut_off_failure_domain_opens_no_session_on_an_unproven_version():
-    """hall-c is cut off from all; meanwhile the version breaks elsewhere.
+    """hall-c is cut off from its peers and the log.
 
-    It cannot hear of the halt, so it must not start the version; the
-    others' budgets are their own.
+    It could not hear of a halt, so it must not start sessions on the new
+    version. The other domains have budgets of their own.
     """
 
     async def steps(rig: quality_rig.Rig) -> None:
@@ -339,7 +343,7 @@
 
 
 def test_session_keeps_its_version_until_a_halt_ends_it():
-    """A session opened on the new version stays on it over all stages.
+    """A session opened on the new version keeps it through all stages.
 
     After the halt its requests are refused, not moved to another version.
     """
@@ -361,7 +365,7 @@
         for node in rig.nodes:
             assert ask(node, "oak-stage", "stage-note", pins) == "scribe-8"
         state["bad"] = True
-        assert await serve(rig, 300, lambda: halted_everywhere(rig))
+        assert await serve(rig, 300, lambda: is_halted_everywhere(rig))
         for node in rig.nodes:
             assert ask(node, "oak-stage", "stage-note", pins) == ""
 
@@ -369,9 +373,9 @@
 
 
 def test_operator_resumes_a_halted_roll_out():
-    """The fault was elsewhere; the operator lets the roll-out go on.
+    """The cause was elsewhere, and the operator resumes the roll-out.
 
-    A late copy of the old halt must not stop the new attempt.
+    A delayed copy of the old halt must not stop the new attempt.
     """
     state = {"bad": True}
 
@@ -380,7 +384,7 @@
         return not bad and is_good(answer)
 
     async def steps(rig: quality_rig.Rig) -> None:
-        assert await serve(rig, 300, lambda: halted_everywhere(rig))
+        assert await serve(rig, 300, lambda: is_halted_everywhere(rig))
         await serve(rig, 5)
         state["bad"] = False
         resume = rollout.Resume(
@@ -390,7 +394,7 @@
             operator="ada",
         )
         await rig.log.append(rollout_reader.STREAM, [rollout.encode(resume)])
-        assert await serve(rig, 900, in_stage(rig, 1))
+        assert await serve(rig, 900, has_reached(rig, 1))
         assert not rig.progress("scribe-8").halted
 
     run(judge, steps)
