--- a/src/carawayward/controllers/budgets.py
+++ b/src/carawayward/controllers/budgets.py
@@ -16,11 +16,11 @@
         [
             *attrs.astuple(budget_key),
             origin,
-            account_state.spent,
-            account_state.earned,
+            account.spent,
+            account.earned,
         ]
         for budget_key, by_origin in accounts.items()
-        for origin, account_state in by_origin.items()
+        for origin, account in by_origin.items()
     ]
 
 
@@ -30,7 +30,7 @@
     accepts: typing.Callable[[quality.BudgetKey, str], bool],
 ) -> None:
     """Merge the accounts that ``accepts`` admits; the larger numbers win."""
-    for version, base, failure_domain, origin, account_state, earned in rows:
+    for version, base, failure_domain, origin, spent, earned in rows:
         budget_key = quality.BudgetKey(
             str(version), int(base), str(failure_domain)
         )
@@ -39,5 +39,5 @@
         known = accounts.setdefault(budget_key, {})
         known[str(origin)] = exposure.merge_accounts(
             known.get(str(origin), exposure.ExposureAccount()),
-            exposure.ExposureAccount(float(account_state), float(earned)),
+            exposure.ExposureAccount(float(spent), float(earned)),
         )
--- a/src/carawayward/controllers/configuration.py
+++ b/src/carawayward/controllers/configuration.py
@@ -58,7 +58,7 @@
     snapshot_offset: int = 0
     snapshot_at_ms: float | None = None
     _random: typing.Callable[[], float] = random.random
-    _next_peer: int = 0
+    _round: int = 0
     _fetching: bool = False
 
     async def start(self, nursery: trio.Nursery) -> None:
@@ -173,8 +173,8 @@
             await self.clock.sleep(interval_ms)
             peers = sorted(self.hub.links)
             if peers:
-                self._next_peer += 1
-                await self._sync(peers[self._next_peer % len(peers)])
+                self._round += 1
+                await self._sync(peers[self._round % len(peers)])
 
     async def _sync(self, peer: str) -> None:
         asked_ms = self.clock.now_ms()
--- a/src/carawayward/controllers/membership.py
+++ b/src/carawayward/controllers/membership.py
@@ -58,7 +58,7 @@
     _last_heartbeat_ms: float = float("-inf")
     _announced: tuple = ()
     _cursor: int = 0
-    _next_peer: int = 0
+    _round: int = 0
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Start exchanging records with peers."""
@@ -180,7 +180,7 @@
             peers = sorted(self.hub.links)
             if not peers:
                 continue
-            self._next_peer += 1
+            self._round += 1
             records, self._cursor = membership.choose_records(
                 self.known,
                 self.changed,
@@ -190,7 +190,7 @@
                 silence_ms,
             )
             rows = [membership.encode_member(record) for record in records]
-            peer = peers[self._next_peer % len(peers)]
+            peer = peers[self._round % len(peers)]
             await self.hub.tell(peer, MESSAGE_KIND, rows)
 
     async def _handle_records(self, peer: str, body: typing.Any) -> None:
--- a/src/carawayward/controllers/orders.py
+++ b/src/carawayward/controllers/orders.py
@@ -177,7 +177,7 @@
             until_ms = read_ms + (
                 MAX_STATE_AGE_MS if is_fenced else MAX_UNFENCED_STATE_AGE_MS
             )
-            is_accepted = await self.client.send(
+            accepted = await self.client.send(
                 endpoint, order, lambda: self._is_still_valid(order, until_ms)
             )
         except errors.EndpointError:
@@ -186,7 +186,7 @@
             return
         event = events.Event
         events.log_event(
-            event.ORDER_SENT if is_accepted else event.ORDER_REFUSED,
+            event.ORDER_SENT if accepted else event.ORDER_REFUSED,
             endpoint=endpoint.name,
             fencing=order.fencing,
             versions=order.versions,
--- a/src/carawayward/controllers/sightings.py
+++ b/src/carawayward/controllers/sightings.py
@@ -49,7 +49,7 @@
     _probed_names: list[str] = attrs.field(factory=list)
     _probed_inputs: tuple[frozenset, frozenset] | None = None
     _cursor: int = 0
-    _next_peer: int = 0
+    _round: int = 0
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Start reading the list, probing, and exchanging facts with peers."""
@@ -217,8 +217,8 @@
             peers = sorted(self.hub.links)
             if not peers:
                 continue
-            self._next_peer += 1
-            peer = peers[self._next_peer % len(peers)]
+            self._round += 1
+            peer = peers[self._round % len(peers)]
             if not self.known:
                 await self._fetch_table(peer)
             rows = self._encode_next_facts(FACTS_PER_ROUND)
