--- a/bench/quality_cost.py
+++ b/bench/quality_cost.py
@@ -125,7 +125,7 @@
         if step.accept_at is None or request.confidence >= step.accept_at:
             good = request.cheap_good if cheap else request.strong_good
             return cost, good, number
-    raise AssertionError("a plan ends with a step that always stands")
+    raise AssertionError("the last step of a plan must accept every answer")
 
 
 def simulate_learned_plans(
--- a/bench/quality_exposure.py
+++ b/bench/quality_exposure.py
@@ -28,12 +28,12 @@
     }
     good = BAD_SHARES[kind]
 
-    def judge(answer: dict) -> bool:
+    def rate_answer(answer: dict) -> bool:
         share = good if answer["version"] == "scribe-8" else 0.96
         return platform_fakes.hash_fraction(answer["id"], seed) < share
 
     rig = quality_rig.Rig.from_config(
-        quality_rig.make_document([stage]), domains, count, judge
+        quality_rig.make_document([stage]), domains, count, rate_answer
     )
     rig.service.delay_ms = delay_s * 1_000
     rig.request_count = seed * 1_000_000
--- a/src/carawayward/controllers/ratings.py
+++ b/src/carawayward/controllers/ratings.py
@@ -352,7 +352,7 @@
     kind, origin, epoch, customer, task, version, *rest = row
     band, escalated, generation, good, bad = rest
     if kind not in TABLE_KINDS or int(good) < 0 or int(bad) < 0:
-        raise ValueError("not a counter")
+        raise ValueError("unknown table or negative count")
     key = make_key(
         str(customer),
         str(task),
--- a/tests/common/platform_fakes.py
+++ b/tests/common/platform_fakes.py
@@ -66,7 +66,7 @@
     """The ratings service, with the faults of tests/standins/ratings.py."""
 
     clock: clock_module.ManualClock
-    judge: typing.Callable[[dict], bool]
+    rate_answer: typing.Callable[[dict], bool]
     delay_ms: float = 0.0
     loss_rate: float = 0.0
     down: bool = False
@@ -82,7 +82,7 @@
         pending = self.mailboxes.setdefault(mailbox, [])
         for answer in answers:
             if hash_fraction(answer["id"], "lose") >= self.loss_rate:
-                pending.append((due, answer["id"], self.judge(answer)))
+                pending.append((due, answer["id"], self.rate_answer(answer)))
 
     async def collect(
         self, mailbox: str, offset: int
--- a/tests/common/quality_rig.py
+++ b/tests/common/quality_rig.py
@@ -69,7 +69,7 @@
         document: dict,
         domains: list[str],
         count: int,
-        judge: typing.Callable[[dict], bool],
+        rate_answer: typing.Callable[[dict], bool],
     ) -> "Rig":
         """Spread entry VMs over the domains, and link each to a few others."""
         clock = clock_module.ManualClock()
@@ -77,7 +77,7 @@
             document=document,
             clock=clock,
             log=platform_fakes.FakeLog(clock),
-            service=platform_fakes.FakeRatings(clock, judge),
+            service=platform_fakes.FakeRatings(clock, rate_answer),
         )
         for number in range(count):
             rig.add_node(f"vm-{number}", domains[number % len(domains)], count)
--- a/tests/cover/test_orders.py
+++ b/tests/cover/test_orders.py
@@ -55,7 +55,7 @@
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
 @hypothesis.given(strategies.integers(1, 40), strategies.randoms())
-def test_walk_through_a_pool_ends_and_keeps_the_cap(size, draw):
+def test_changing_a_pool_completes_within_the_cap(size, draw):
     """In any order of completion, each changes once within the cap."""
     behind = {f"e{number}" for number in range(size)}
     names = sorted(behind)
@@ -93,7 +93,7 @@
     assert not orders.is_due(ORDER, newer, may_change=True)
 
 
-def test_endpoint_that_took_an_old_order_is_ordered_again():
+def test_endpoint_that_accepted_an_old_order_is_ordered_again():
     """An endpoint that does not check fencing numbers reports an old one."""
     stale = orders.Order(fencing=5, versions=("sorter-3",), role="mixed")
     assert orders.is_due(ORDER, stale, may_change=True)
@@ -102,12 +102,12 @@
     assert orders.is_due(ORDER, mismatched, may_change=True)
 
 
-def test_order_that_is_held_is_not_sent_again():
+def test_order_already_in_effect_is_not_sent_again():
     """The order took effect, but its answer was lost."""
     assert not orders.is_due(ORDER, ORDER, may_change=True)
 
 
-def test_change_of_role_needs_no_place_among_the_changing():
+def test_change_of_role_does_not_count_towards_the_cap():
     """A change of role loads nothing, so it cannot empty the pool."""
     other = orders.Order(fencing=6, versions=ORDER.versions, role="decode")
     assert orders.is_due(ORDER, other, may_change=False)
@@ -172,7 +172,7 @@
 ]
 
 
-def test_order_is_not_sent_on_old_grounds():
+def test_order_based_on_an_outdated_state_is_not_sent():
     """The process is paused between its check and the send.
 
     Meanwhile another document came into force, or too much time passed; an
--- a/tests/failures/test_agreed_membership.py
+++ b/tests/failures/test_agreed_membership.py
@@ -55,7 +55,7 @@
         assert len(running.runs_of("matchers-0")) == before
 
 
-def test_newcomer_without_a_list_learns_endpoints_from_its_peers():
+def test_new_entry_vm_without_a_list_learns_endpoints_from_peers():
     """An entry VM is replaced while the platform's list is down.
 
     It must become ready and serve: its peers know the endpoints.
--- a/tests/failures/test_quality_orders.py
+++ b/tests/failures/test_quality_orders.py
@@ -151,7 +151,7 @@
     check_outdated_order(ignore_fencing=True, status=200)
 
 
-def test_paused_orderer_wakes_up_after_another_publish():
+def test_entry_vm_paused_across_a_publish_sends_no_old_order():
     """One of two entry VMs is stopped for seconds, then resumes.
 
     Meanwhile a newer document is published. The resumed entry VM must not act
--- a/tests/failures/test_quality_rollouts.py
+++ b/tests/failures/test_quality_rollouts.py
@@ -30,7 +30,7 @@
 
 
 def run(
-    judge: typing.Callable[[dict], bool],
+    rate_answer: typing.Callable[[dict], bool],
     steps: typing.Callable[[quality_rig.Rig], typing.Awaitable[None]],
     count: int = 9,
     **fields: typing.Any,
@@ -39,7 +39,7 @@
     document = quality_rig.make_document(
         fields.pop("stages", make_stages()), **fields
     )
-    rig = quality_rig.Rig.from_config(document, DOMAINS, count, judge)
+    rig = quality_rig.Rig.from_config(document, DOMAINS, count, rate_answer)
 
     async def call() -> None:
         await steps(rig)
@@ -124,7 +124,7 @@
     """Check the halt and exposure of a version that turns bad in a stage."""
     state = {"bad": False}
 
-    def judge(answer: dict) -> bool:
+    def rate_answer(answer: dict) -> bool:
         bad = state["bad"] and answer["version"] == "scribe-8"
         return is_good(answer, share if bad else 0.96)
 
@@ -145,7 +145,7 @@
             == "scribe-7"
         )
 
-    run(judge, steps)
+    run(rate_answer, steps)
 
 
 def test_version_that_breaks_in_the_first_stage_is_halted():
@@ -191,7 +191,7 @@
     """
     began = {"ms": 0.0}
 
-    def judge(answer: dict) -> bool:
+    def rate_answer(answer: dict) -> bool:
         if answer["version"] == "scribe-7" or not began["ms"]:
             return is_good(answer)
         minutes = (rigs[0].clock.now_ms() - began["ms"]) / 60_000
@@ -205,7 +205,7 @@
         began["ms"] = rig.clock.now_ms()
         assert await serve(rig, 600, lambda: is_halted_everywhere(rig))
 
-    run(judge, steps)
+    run(rate_answer, steps)
 
 
 def test_version_bad_for_one_customer_only_is_halted():
@@ -214,7 +214,7 @@
     The group of that customer's task shows what the total hides.
     """
 
-    def judge(answer: dict) -> bool:
+    def rate_answer(answer: dict) -> bool:
         hit = (answer["version"], answer["customer"], answer["task"]) == (
             "scribe-8",
             "oak-stage",
@@ -225,7 +225,7 @@
     async def steps(rig: quality_rig.Rig) -> None:
         assert await serve(rig, 600, lambda: is_halted_everywhere(rig))
 
-    rig = run(judge, steps)
+    rig = run(rate_answer, steps)
     assert "oak-stage" in rig.progress("scribe-8").halted
 
 
@@ -349,7 +349,7 @@
     """
     state = {"bad": False}
 
-    def judge(answer: dict) -> bool:
+    def rate_answer(answer: dict) -> bool:
         bad = state["bad"] and answer["version"] == "scribe-8"
         return not bad and is_good(answer)
 
@@ -369,7 +369,7 @@
         for node in rig.nodes:
             assert ask(node, "oak-stage", "stage-note", pins) == ""
 
-    run(judge, steps)
+    run(rate_answer, steps)
 
 
 def test_operator_resumes_a_halted_roll_out():
@@ -379,7 +379,7 @@
     """
     state = {"bad": True}
 
-    def judge(answer: dict) -> bool:
+    def rate_answer(answer: dict) -> bool:
         bad = state["bad"] and answer["version"] == "scribe-8"
         return not bad and is_good(answer)
 
@@ -397,4 +397,4 @@
         assert await serve(rig, 900, has_reached(rig, 1))
         assert not rig.progress("scribe-8").halted
 
-    run(judge, steps)
+    run(rate_answer, steps)
