--- a/src/carawayward/controllers/bill_replicas.py
+++ b/src/carawayward/controllers/bill_replicas.py
@@ -161,12 +161,12 @@
             for holder in self.holders.pop(key, ()):
                 by_holder.setdefault(holder, []).append(list(key))
         for holder, rows in by_holder.items():
-            await self.hub.tell(holder[0], "bill.release", {"keys": rows})
+            await self.hub.notify(holder[0], "bill.release", {"keys": rows})
 
     async def request_adoption(self) -> None:
         """Tell holders that this node is stopping and will append no more."""
         for holder in set().union(*self.holders.values()):
-            await self.hub.tell(holder[0], "bill.adopt", {})
+            await self.hub.notify(holder[0], "bill.adopt", {})
 
     def _get_owner(self, peer: str) -> PeerIncarnation:
         link = self.hub.links.get(peer)
--- a/src/carawayward/controllers/membership.py
+++ b/src/carawayward/controllers/membership.py
@@ -64,7 +64,7 @@
         """Start exchanging records with peers."""
         self._started_ms = self.clock.wall_ms()
         self.hub.handle(MESSAGE_KIND, self._handle_records)
-        self.hub.greet_with(self._greet)
+        self.hub.add_link_callback(self._greet)
         nursery.start_soon(self._gossip)
         nursery.start_soon(self._watch_self)
 
@@ -163,11 +163,11 @@
             MAX_MISSED_HEARTBEATS * self._heartbeat_ms(),
         )
         rows = [membership.encode_member(record) for record in records]
-        await self.hub.tell(peer, MESSAGE_KIND, rows)
+        await self.hub.notify(peer, MESSAGE_KIND, rows)
 
     async def _broadcast_self(self) -> None:
         row = membership.encode_member(self.known[self.board.name].member)
-        await self.hub.tell_all(MESSAGE_KIND, [row])
+        await self.hub.notify_all(MESSAGE_KIND, [row])
 
     async def _gossip(self) -> None:
         while True:
@@ -191,7 +191,7 @@
             )
             rows = [membership.encode_member(record) for record in records]
             peer = peers[self._round % len(peers)]
-            await self.hub.tell(peer, MESSAGE_KIND, rows)
+            await self.hub.notify(peer, MESSAGE_KIND, rows)
 
     async def _handle_records(self, peer: str, body: typing.Any) -> None:
         for row in body:
--- a/src/carawayward/controllers/ratings.py
+++ b/src/carawayward/controllers/ratings.py
@@ -246,7 +246,7 @@
             self.evict_expired()
             rows = self.choose_rows()
             if rows:
-                await self.hub.tell_all("evidence", rows)
+                await self.hub.notify_all("evidence", rows)
 
     def evict_expired(self) -> None:
         """Drop old counters, and the plans that were made from them.
--- a/src/carawayward/controllers/rollouts.py
+++ b/src/carawayward/controllers/rollouts.py
@@ -376,7 +376,7 @@
         ):
             return
         self._last_sent, self._last_sent_ms = text, now
-        await self.hub.tell_all("rollouts", body)
+        await self.hub.notify_all("rollouts", body)
 
     def encode_state(self) -> dict[str, typing.Any]:
         """Encode this entry VM's state for peers."""
--- a/src/carawayward/controllers/sightings.py
+++ b/src/carawayward/controllers/sightings.py
@@ -113,7 +113,7 @@
             fact = sightings.make_fact(seen, self.clock.now_ms())
             if fact is not None:
                 row = membership.encode_fact(fact)
-                await self.hub.tell_all("endpoints", [row])
+                await self.hub.notify_all("endpoints", [row])
 
     def _update_board(self) -> None:
         now = self.clock.now_ms()
@@ -223,7 +223,7 @@
                 await self._fetch_table(peer)
             rows = self._encode_next_facts(FACTS_PER_ROUND)
             if rows:
-                await self.hub.tell(peer, "endpoints", rows)
+                await self.hub.notify(peer, "endpoints", rows)
 
     def _encode_next_facts(self, count: int) -> list[list]:
         """Encode the next ``count`` facts, in rotation."""
--- a/src/carawayward/controllers/suspects.py
+++ b/src/carawayward/controllers/suspects.py
@@ -182,7 +182,7 @@
             rows = [self.unsent.popleft() for _ in range(count)]
             if not self.unsent:
                 self.unsent_added = trio.Event()
-            await self.hub.tell_all("suspects", rows)
+            await self.hub.notify_all("suspects", rows)
             await self.clock.sleep(MIN_SEND_INTERVAL_MS)
 
     async def _resync(self) -> None:
@@ -193,7 +193,7 @@
             rows = self._choose_resync_rows()
             if peers and rows:
                 peer = peers[self.resync_count % len(peers)]
-                await self.hub.tell(peer, "suspects", rows)
+                await self.hub.notify(peer, "suspects", rows)
 
     def _choose_resync_rows(self) -> list[list]:
         """The records of the next suspect, in rotation."""
--- a/src/carawayward/peers/hub.py
+++ b/src/carawayward/peers/hub.py
@@ -1,4 +1,4 @@
-"""The links of this entry VM: who is linked, and what answers messages."""
+"""The links of this entry VM to its peers, and the message handlers."""
 
 import functools
 import logging
@@ -23,29 +23,29 @@
 from carawayward.protocol import topology
 from carawayward import settings as settings_module
 
-HANDSHAKE_S = 3.0
+HANDSHAKE_TIMEOUT_S = 3.0
 DIAL_TIMEOUT_MS = 3_000.0
-CLOSE_S = 0.5
-# The longest message is a whole configuration document.
+CLOSE_TIMEOUT_S = 0.5
+# The longest messages carry a whole configuration document.
 MAX_MESSAGE_BYTES = 4_000_000
-# Connections whose other side has not proved who it is yet. Junk on the
-# port can hold no more than these, and each for HANDSHAKE_S only.
-MAX_UNPROVEN = 32
-# A link that another one has replaced may still carry answers for a while.
-LINGER_S = 2.0
-UNKNOWN_POLL_S = 0.05
+# Connections that are not authenticated yet. Strangers who connect to the port
+# can occupy no more than these, each for at most HANDSHAKE_TIMEOUT_S.
+MAX_UNAUTHENTICATED = 32
+# How long a replaced link stays open, since it may still carry answers.
+REPLACED_LINK_GRACE_S = 2.0
+UNKNOWN_PEER_POLL_S = 0.05
 
 Handler = typing.Callable[[str, typing.Any], typing.Awaitable[typing.Any]]
-Greeter = typing.Callable[[str], typing.Awaitable[None]]
+LinkCallback = typing.Callable[[str], typing.Awaitable[None]]
 
 
 @attrs.define(eq=False)
 class PeerHub:
-    """All links of this entry VM, and what handles each message kind.
+    """All links of this entry VM, and a handler for each message kind.
 
-    ``links`` holds open links only. One that closes leaves it at that
-    moment; its task may take CLOSE_S to end, and a call meanwhile would
-    get "link lost" instead of a new link.
+    ``links`` holds open links only. A link is removed at the moment when it
+    closes: its task may take CLOSE_TIMEOUT_S to end, and a call during that
+    time would fail with "link lost" instead of dialling anew.
     """
 
     settings: settings_module.Settings
@@ -54,24 +54,24 @@
     choose_peers: dialling.Choose = topology.choose_peers
     links: dict[str, link_module.Link] = attrs.field(factory=dict)
     handlers: dict[str, Handler] = attrs.field(factory=dict)
-    _unproven: int = 0
+    _unauthenticated: int = 0
     _nursery: trio.Nursery | None = None
     _dialler: dialling.Dialler = attrs.field(init=False)
-    _greeters: list[Greeter] = attrs.field(factory=list)
+    _link_callbacks: list[LinkCallback] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
         self._dialler = dialling.Dialler(self, self.choose_peers)
 
     def handle(self, kind: str, handler: Handler) -> None:
-        """Register what answers messages of ``kind``."""
+        """Register the handler of messages of ``kind``."""
         self.handlers[kind] = handler
 
-    def greet_with(self, greeter: Greeter) -> None:
-        """Register what is called with the name of each new link's peer."""
-        self._greeters.append(greeter)
+    def add_link_callback(self, callback: LinkCallback) -> None:
+        """Register a callback that gets the peer's name of each new link."""
+        self._link_callbacks.append(callback)
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Listen for peers, and keep links to those that are chosen."""
+        """Start listening for peers and maintaining links to them."""
         self._nursery = nursery
         tls = self.settings.tls.peers
         host, port = settings_module.split_address(self.settings.listen.peers)
@@ -82,7 +82,7 @@
                 port,
                 host=host,
                 ssl=listening.make_server_context(tls) if tls else None,
-                open_timeout=HANDSHAKE_S,
+                open_timeout=HANDSHAKE_TIMEOUT_S,
                 create_connection=PeerConnection,
                 logger=make_logger(),
                 **SOCKET_LIMITS,
@@ -91,59 +91,59 @@
         self._dialler.start(nursery)
 
     async def close(self) -> None:
-        """Close all links, after what is queued has had a moment to go."""
+        """Close all links after a short time for sending queued messages."""
         if self.links:
-            await trio.sleep(CLOSE_S)
+            await trio.sleep(CLOSE_TIMEOUT_S)
         for link in list(self.links.values()):
             link.close()
 
     async def call(
         self, peer: str, kind: str, body: object, timeout_ms: float
     ) -> typing.Any:
-        """Call a peer and return its answer; dial it if need be.
+        """Call a peer and return its answer; dial it if necessary.
 
-        Raises PeerUnavailable without a link or an answer in time; the
-        call may then have been carried out.
+        Raises PeerUnavailable if there is no link or no answer in time; the
+        peer may then still have processed the call.
         """
         began_ms = self.clock.now_ms()
         link = self.links.get(peer)
         if link is None:
-            link = await self.reach(peer, timeout_ms)
+            link = await self.get_link(peer, timeout_ms)
         spent_ms = self.clock.now_ms() - began_ms
         return await link.call(kind, body, max(timeout_ms - spent_ms, 1.0))
 
-    async def reach(
+    async def get_link(
         self, peer: str, timeout_ms: float = DIAL_TIMEOUT_MS
     ) -> link_module.Link:
-        """The link to a named peer, made now if there is none.
+        """Return the link to a peer; dial it if there is none.
 
-        Raises PeerUnavailable when the peer's address does not become
-        known in time or it does not answer there.
+        Raises PeerUnavailable if the peer's address does not become known
+        in time or the peer cannot be dialled.
         """
         with trio.move_on_after(min(timeout_ms, DIAL_TIMEOUT_MS) / 1000):
-            # A claim or a ticket may name a peer that started a moment ago
-            # and of which only the log or the caller has told so far.
+            # A claim or a ticket may name a peer that has just started, so
+            # that only the log or the caller has mentioned it so far.
             while peer not in self.links:
                 known = self.board.entry_vms.get(peer)
                 if known is not None:
                     await self._dialler.dial_now(known.address, peer)
                     break
-                await trio.sleep(UNKNOWN_POLL_S)
+                await trio.sleep(UNKNOWN_PEER_POLL_S)
         link = self.links.get(peer)
         if link is None:
-            raise errors.PeerUnavailable(f"peer {peer}: no link")
+            raise errors.PeerUnavailable(f"peer {peer}: no link could be made")
         return link
 
-    def has_tried(self) -> bool:
-        """Whether each seed is linked or has just failed to answer."""
-        return self._dialler.has_tried()
+    def has_tried_seeds(self) -> bool:
+        """Whether each seed is linked or has just failed to respond."""
+        return self._dialler.has_tried_seeds()
 
-    def choose_linked(self) -> frozenset[str]:
-        """Names of the peers that this entry VM keeps links to."""
+    def choose_link_targets(self) -> frozenset[str]:
+        """Choose the names of the peers to keep links to."""
         return self._dialler.choose()
 
-    async def tell(self, peer: str, kind: str, body: object) -> None:
-        """Send a message that wants no answer; a lost one is not noticed."""
+    async def notify(self, peer: str, kind: str, body: object) -> None:
+        """Send a message without an answer; its loss is not noticed."""
         link = self.links.get(peer)
         if link is not None:
             try:
@@ -151,31 +151,33 @@
             except errors.PeerUnavailable:
                 return
 
-    async def tell_all(self, kind: str, body: object) -> None:
-        """Send a message to every linked peer."""
+    async def notify_all(self, kind: str, body: object) -> None:
+        """Notify every linked peer."""
         for peer in list(self.links):
-            await self.tell(peer, kind, body)
+            await self.notify(peer, kind, body)
 
     async def _accept(self, socket: ws_server.ServerConnection) -> None:
-        if self._unproven >= MAX_UNPROVEN:
-            self._refuse("too many connections without proof")
+        if self._unauthenticated >= MAX_UNAUTHENTICATED:
+            self._log_refusal("too many unauthenticated connections")
             return
-        self._unproven += 1
+        self._unauthenticated += 1
         try:
-            with trio.fail_after(HANDSHAKE_S):
-                identity = await self._admit(socket)
+            with trio.fail_after(HANDSHAKE_TIMEOUT_S):
+                identity = await self._authenticate_dialler(socket)
         except errors.NotAuthenticated as fault:
-            self._refuse(str(fault))
+            self._log_refusal(str(fault))
             return
         except (trio.TooSlowError, websockets.ConnectionClosed, OSError):
-            self._refuse("no proof in time")
+            self._log_refusal("not authenticated in time")
             return
         finally:
-            self._unproven -= 1
+            self._unauthenticated -= 1
         await self._run_link(identity, socket, dialled=False)
 
-    async def _admit(self, socket: typing.Any) -> handshake.Identity:
-        """Challenge whoever connected, then prove who we are."""
+    async def _authenticate_dialler(
+        self, socket: typing.Any
+    ) -> handshake.Identity:
+        """Authenticate the dialler, then prove our own identity."""
         keys = self.settings.keys.peers
         challenge = secrets.token_bytes(handshake.NONCE_BYTES)
         await socket.send(challenge)
@@ -189,10 +191,10 @@
         return proof.identity
 
     async def dial(self, address: str) -> None:
-        """Connect to an address and carry messages until the link ends.
+        """Connect to an address and run the link until it ends.
 
-        Raises one of dialling.FAILURES, alone or in a group, when no link
-        comes about.
+        Raises one of dialling.DIAL_FAILURES, alone or in a group, if no
+        link is made.
         """
         tls = self.settings.tls.peers
         scheme = "wss" if tls else "ws"
@@ -200,16 +202,18 @@
             f"{scheme}://{address}/",
             ssl=listening.make_client_context(tls) if tls else None,
             proxy=None,
-            open_timeout=HANDSHAKE_S,
+            open_timeout=HANDSHAKE_TIMEOUT_S,
             **SOCKET_LIMITS,
         ) as socket:
-            with trio.fail_after(HANDSHAKE_S):
-                identity = await self._introduce(socket)
-            self._dialler.record_arrival(address, identity.address)
+            with trio.fail_after(HANDSHAKE_TIMEOUT_S):
+                identity = await self._authenticate_listener(socket)
+            self._dialler.record_link_up(address, identity.address)
             await self._run_link(identity, socket, dialled=True)
 
-    async def _introduce(self, socket: typing.Any) -> handshake.Identity:
-        """Answer the challenge, then check who answered ours."""
+    async def _authenticate_listener(
+        self, socket: typing.Any
+    ) -> handshake.Identity:
+        """Prove our own identity, then authenticate the listener."""
         keys = self.settings.keys.peers
         challenge = await socket.recv()
         if not isinstance(challenge, bytes):
@@ -225,13 +229,13 @@
         )
         if proof.nonce != challenge:
             raise errors.NotAuthenticated(
-                "the peer answered another challenge"
+                "the peer responded to a different challenge"
             )
         return proof.identity
 
     @property
     def identity(self) -> handshake.Identity:
-        """What this entry VM says of itself."""
+        """The identity that this entry VM presents to peers."""
         return handshake.Identity(
             self.board.name,
             self.board.incarnation,
@@ -239,7 +243,7 @@
             self.settings.listen.peers,
         )
 
-    def _refuse(self, detail: str) -> None:
+    def _log_refusal(self, detail: str) -> None:
         events.log_event(events.Event.PEER_REFUSED, detail=detail)
 
     async def _run_link(
@@ -248,25 +252,25 @@
         if identity.name == self.board.name:
             return
         link = link_module.Link(
-            identity, socket, dialled, on_close=self._delist
+            identity, socket, dialled, on_close=self._remove_link
         )
         older = self.links.get(link.peer)
         self.links[link.peer] = link
         if older is not None and self._nursery is not None:
-            self._nursery.start_soon(linger, older)
-        self._record_linked(identity)
+            self._nursery.start_soon(close_after_grace, older)
+        self._record_member(identity)
         events.log_event(events.Event.PEER_UP, peer=link.peer)
-        for greet in self._greeters:
-            await greet(link.peer)
+        for notify_link in self._link_callbacks:
+            await notify_link(link.peer)
         await link.run(self._serve)
 
-    def _delist(self, link: link_module.Link) -> None:
+    def _remove_link(self, link: link_module.Link) -> None:
         if self.links.get(link.peer) is link:
             del self.links[link.peer]
             events.log_event(events.Event.PEER_DOWN, peer=link.peer)
 
-    def _record_linked(self, identity: handshake.Identity) -> None:
-        """Take what a peer has proved of itself."""
+    def _record_member(self, identity: handshake.Identity) -> None:
+        """Record a linked peer as a member by its authenticated identity."""
         members = self.board.entry_vms
         known = members.get(identity.name)
         same = known is not None and known.incarnation == identity.incarnation
@@ -290,35 +294,36 @@
     "compression": None,
     "max_size": MAX_MESSAGE_BYTES,
     "ping_interval": None,
-    "close_timeout": CLOSE_S,
+    "close_timeout": CLOSE_TIMEOUT_S,
 }
 
 
-async def linger(link: link_module.Link) -> None:
-    """Close a replaced link once its last answers have had time to come."""
-    await trio.sleep(LINGER_S)
+async def close_after_grace(link: link_module.Link) -> None:
+    """Close a replaced link after leaving time for its last answers."""
+    await trio.sleep(REPLACED_LINK_GRACE_S)
     link.close()
 
 
 class PeerConnection(ws_server.ServerConnection):
-    """An accepted connection, which leaves an event if it is no peer's.
+    """An accepted connection that logs a failed opening handshake.
 
-    Bytes that are no WebSocket handshake never reach the hub.
+    The hub is called only after the WebSocket handshake.
     """
 
     async def handshake(self, *arguments: typing.Any) -> None:
-        """Take the opening handshake."""
+        """Run the opening handshake."""
         try:
             await super().handshake(*arguments)
         finally:
             if self.protocol.state is not websockets.State.OPEN:
                 events.log_event(
-                    events.Event.PEER_REFUSED, detail="no opening handshake"
+                    events.Event.PEER_REFUSED,
+                    detail="WebSocket handshake failed",
                 )
 
 
 def make_logger() -> logging.Logger:
-    """The library's logger, silenced: it would write down what it got."""
+    """Create a silent logger; the library would log received data."""
     logger = logging.getLogger("carawayward.peers.listener")
     logger.propagate = False
     logger.setLevel(logging.CRITICAL)
--- a/src/carawayward/peers/link.py
+++ b/src/carawayward/peers/link.py
@@ -1,4 +1,4 @@
-"""One live connection between two entry VMs."""
+"""An open connection between two entry VMs."""
 
 import contextlib
 import itertools
@@ -14,21 +14,21 @@
 from carawayward.protocol import handshake
 from carawayward import supervision
 
-# Each side sends a heartbeat, so that a link which carries nothing else
-# still shows that it works. A link that has brought nothing for SILENCE_S
-# is closed and made anew: an open connection may have gone silent for good
-# while new ones work. Three heartbeats may be late before that, since a
-# busy entry VM is not a silent one. The WebSocket's own ping would not do:
-# it waits for room to write before its timeout begins, and a silent
-# connection is one that takes no data.
-HEARTBEAT_S = 2.0
-SILENCE_S = 7.0
+# Each side sends heartbeats so that an otherwise idle link shows that it
+# works. A link on which nothing has arrived for SILENCE_TIMEOUT_S is closed
+# and replaced: an established connection can go silent for good while new
+# ones work. The timeout leaves room for three late heartbeats, since a busy
+# entry VM is not a silent one. WebSocket pings do not help here: a ping
+# waits for room to write before its timeout starts, and a silent connection
+# is one that accepts no data.
+HEARTBEAT_INTERVAL_S = 2.0
+SILENCE_TIMEOUT_S = 7.0
 HEARTBEAT = "link.alive"
-# Messages that wait to be written. A peer that reads too slowly for this
-# loses messages, which all of them can bear: calls time out, and what is
-# told is told again.
+# Messages that wait to be written. A peer that reads too slowly loses messages
+# beyond these. All kinds of messages tolerate that: calls time out, and
+# notifications are repeated.
 MAX_QUEUED = 512
-MAX_SERVED = 256
+MAX_IN_SERVICE = 256
 
 Serve = typing.Callable[
     ["Link", messages.Message], typing.Awaitable[typing.Any]
@@ -37,11 +37,12 @@
 
 @attrs.define(eq=False)
 class Link:
-    """A connection whose peer has proved who it is.
+    """A connection to an authenticated peer.
 
-    ``dialled`` says that this side made it. ``used`` is when it last
-    carried a call, on trio's clock. ``on_close`` is called once, at the
-    moment of closing: the task that carries the messages ends later.
+    ``dialled`` is set on the side that dialled. ``heard`` is when the last
+    message arrived and ``last_call_s`` when the last call was sent or
+    received, both on trio's clock. ``on_close`` is called once, at the
+    moment of closing; the task that runs the link ends later.
     """
 
     identity: handshake.Identity
@@ -54,14 +55,14 @@
     answers: dict[int, typing.Any] = attrs.field(factory=dict)
     closed: bool = False
     heard: float = attrs.field(factory=trio.current_time)
-    used: float = attrs.field(factory=trio.current_time)
+    last_call_s: float = attrs.field(factory=trio.current_time)
     _numbers: typing.Iterator[int] = attrs.field(
         factory=lambda: itertools.count(1)
     )
     _scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
     _outgoing: trio.MemorySendChannel = attrs.field(init=False)
     _queue: trio.MemoryReceiveChannel = attrs.field(init=False)
-    _served: int = 0
+    _in_service: int = 0
 
     def __attrs_post_init__(self) -> None:
         self._outgoing, self._queue = trio.open_memory_channel[
@@ -79,23 +80,23 @@
         return self.identity.incarnation
 
     def send(self, message: messages.Message) -> None:
-        """Queue one message, or raise PeerUnavailable."""
+        """Queue one message or raise PeerUnavailable."""
         if self.closed:
             raise errors.PeerUnavailable(f"peer {self.peer}: link lost")
         try:
             self._outgoing.send_nowait(message)
         except trio.WouldBlock:
             raise errors.PeerUnavailable(
-                f"peer {self.peer}: it reads too slowly"
+                f"peer {self.peer}: it reads too slowly, send queue full"
             ) from None
 
     async def call(
         self, kind: str, body: object, timeout_ms: float
     ) -> typing.Any:
-        """Send a call and return its answer, or raise PeerUnavailable."""
+        """Send a call and return its answer or raise PeerUnavailable."""
         number = next(self._numbers)
         event = self.waiting[number] = trio.Event()
-        self.used = trio.current_time()
+        self.last_call_s = trio.current_time()
         try:
             self.send(messages.Message(kind, body, call=number))
             with trio.fail_after(timeout_ms / 1000):
@@ -111,7 +112,7 @@
         return self.answers.pop(number)
 
     def close(self) -> None:
-        """End the link and wake every call that waits on it."""
+        """Close the link and wake all calls that wait for an answer."""
         if not self.closed:
             self.closed = True
             self.on_close(self)
@@ -121,18 +122,18 @@
         self.waiting.clear()
 
     async def run(self, serve: Serve) -> None:
-        """Carry messages until either side closes or goes silent."""
+        """Exchange messages until either side closes or goes silent."""
         try:
             with self._scope:
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self._write)
-                    nursery.start_soon(self._beat)
+                    nursery.start_soon(self._send_heartbeats)
                     await self._read(serve, nursery)
                     nursery.cancel_scope.cancel()
         finally:
             self.close()
-            # A closing handshake needs a peer that answers; one that went
-            # silent must not hold the connection open.
+            # A closing handshake would wait for the peer, and a silent peer
+            # must not keep the connection open.
             await trio.aclose_forcefully(self.socket.stream)
 
     async def _write(self) -> None:
@@ -140,11 +141,11 @@
             with contextlib.suppress(ws_errors.ConnectionClosed, OSError):
                 await self.socket.send(messages.encode(message))
 
-    async def _beat(self) -> None:
-        while trio.current_time() - self.heard < SILENCE_S:
+    async def _send_heartbeats(self) -> None:
+        while trio.current_time() - self.heard < SILENCE_TIMEOUT_S:
             with contextlib.suppress(errors.PeerUnavailable):
                 self.send(messages.Message(HEARTBEAT, None))
-            await trio.sleep(HEARTBEAT_S)
+            await trio.sleep(HEARTBEAT_INTERVAL_S)
         events.log_event(events.Event.PEER_SILENT, peer=self.peer)
         self.close()
 
@@ -154,11 +155,11 @@
                 self.heard = trio.current_time()
                 message = messages.decode(data)
                 if message.answer:
-                    self._settle(message)
+                    self._deliver_answer(message)
                 elif message.kind != HEARTBEAT:
                     if message.call:
-                        self.used = self.heard
-                    await self._take(serve, message, nursery)
+                        self.last_call_s = self.heard
+                    await self._start_serving(serve, message, nursery)
         except messages.JunkMessage as fault:
             events.log_event(
                 events.Event.PEER_REFUSED, peer=self.peer, detail=str(fault)
@@ -166,21 +167,21 @@
         except (ws_errors.ConnectionClosed, OSError):
             pass
         code = self.socket.protocol.close_sent
-        if code is not None and code.code == TOO_BIG:
+        if code is not None and code.code == CLOSE_TOO_BIG:
             events.log_event(
                 events.Event.PEER_REFUSED,
                 peer=self.peer,
-                detail="a message over the limit",
+                detail="message exceeds the size limit",
             )
 
-    async def _take(
+    async def _start_serving(
         self, serve: Serve, message: messages.Message, nursery: trio.Nursery
     ) -> None:
-        # A peer that sends faster than its messages can be served is slowed
-        # down by not being read.
-        while self._served >= MAX_SERVED:
+        # Back-pressure: do not read from a peer that sends faster than its
+        # messages can be handled.
+        while self._in_service >= MAX_IN_SERVICE:
             await trio.sleep(0.01)
-        self._served += 1
+        self._in_service += 1
         nursery.start_soon(self._serve, serve, message)
 
     async def _serve(self, serve: Serve, message: messages.Message) -> None:
@@ -191,8 +192,9 @@
                 with contextlib.suppress(errors.PeerUnavailable):
                     self.send(reply)
         except (Exception, BaseExceptionGroup) as fault:
-            # A peer of another release, or a damaged one, must not end the
-            # link for all other messages. Its call times out.
+            # A message that cannot be handled, such as one from a peer of
+            # another release or a faulty one, must not end the link for
+            # other messages. If it is a call, it times out.
             _, rest = supervision.split_cancelled(fault)
             if rest is None:
                 raise
@@ -203,14 +205,14 @@
                 detail=supervision.describe_fault(rest),
             )
         finally:
-            self._served -= 1
+            self._in_service -= 1
 
-    def _settle(self, message: messages.Message) -> None:
-        """Hand an answer to the call that waits for it."""
+    def _deliver_answer(self, message: messages.Message) -> None:
+        """Pass an answer to the call that waits for it."""
         event = self.waiting.pop(message.answer, None)
         if event is not None:
             self.answers[message.answer] = message.body
             event.set()
 
 
-TOO_BIG = 1009
+CLOSE_TOO_BIG = 1009
--- a/tests/common/platform_fakes.py
+++ b/tests/common/platform_fakes.py
@@ -113,6 +113,6 @@
         """Register the handler of a kind of messages."""
         self.handlers[kind] = handler
 
-    async def tell_all(self, kind: str, body: typing.Any) -> None:
+    async def notify_all(self, kind: str, body: typing.Any) -> None:
         """Queue a message to each linked peer."""
         self.queue += [(self.name, peer, kind, body) for peer in self.peers]
--- a/tests/common/quality_rig.py
+++ b/tests/common/quality_rig.py
@@ -175,7 +175,7 @@
         node.ratings.evict_expired()
         rows = node.ratings.choose_rows()
         if rows:
-            await node.hub.tell_all("evidence", rows)
+            await node.hub.notify_all("evidence", rows)
         controller = node.rollouts
         reachable = node.name not in self.nodes_without_log
         try:
