--- a/src/carawayward/controllers/publishing.py
+++ b/src/carawayward/controllers/publishing.py
@@ -25,7 +25,7 @@
     log: log_module.LogClient
     publish_id: str = attrs.field(factory=lambda: secrets.token_hex(12))
     state: config_log.ConfigState | None = None
-    outcome: config_log.Fate = config_log.Fate()
+    outcome: config_log.PublishResult = config_log.PublishResult()
 
     async def read_to_tail(self) -> config_log.ConfigState:
         """Read the log up to its tail and return the state."""
@@ -45,7 +45,7 @@
         if record is None:
             self.state = attrs.evolve(self.state, read_to=item.offset)
             return
-        self.state, self.outcome = config_log.follow_publish(
+        self.state, self.outcome = config_log.track_publish(
             self.state, item.offset, record, self.publish_id, self.outcome
         )
 
--- a/src/carawayward/controllers/sightings.py
+++ b/src/carawayward/controllers/sightings.py
@@ -24,14 +24,15 @@
 PROBE_INTERVAL_MS = 1_000.0
 INITIAL_POLL_MS = 50.0
 GOSSIP_INTERVAL_MS = 2_000.0
-# See membership.choose_probed: today's users have 8 to 14 endpoints, and every
-# node probes them all; with 790 endpoints a node probes about six.
+# See membership.choose_probe_targets: today's users have 8 to 14 endpoints,
+# and every node probes them all; with 790 endpoints a node probes about six.
 PROBE_ALL_UP_TO = 40
 PROBERS_PER_ENDPOINT = 3
-# Facts sent to one peer per round, some 90 bytes each.
-FACTS_PER_ROUND = 12
-# A fact older than this is no evidence that an unlisted endpoint exists.
-MAX_NEW_FACT_AGE_MS = 10_000.0
+# Observations sent to one peer per round, some 90 bytes each.
+OBSERVATIONS_PER_ROUND = 12
+# An observation older than this is no evidence that an unlisted endpoint
+# exists.
+MAX_NEW_OBSERVATION_AGE_MS = 10_000.0
 TABLE_TIMEOUT_MS = 2_000.0
 
 
@@ -44,7 +45,7 @@
     vms: vms_module.VmList
     hub: hub_module.PeerHub
     endpoints: endpoints_module.EndpointClient
-    known: dict[str, sightings.Sighting] = attrs.field(factory=dict)
+    known: dict[str, sightings.ObservedEndpoint] = attrs.field(factory=dict)
     _probing: set[str] = attrs.field(factory=set)
     _probed_names: list[str] = attrs.field(factory=list)
     _probed_inputs: tuple[frozenset, frozenset] | None = None
@@ -52,8 +53,8 @@
     _round: int = 0
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Start reading the list, probing, and exchanging facts with peers."""
-        self.hub.handle("endpoints", self._handle_facts)
+        """Start reading the list, probing, and exchanging observations."""
+        self.hub.handle("endpoints", self._handle_observations)
         self.hub.handle("endpoints.table", self._handle_table)
         nursery.start_soon(self._poll_list)
         nursery.start_soon(self._probe_rounds)
@@ -86,7 +87,7 @@
             if vm.role != "endpoint":
                 continue
             names.add(vm.name)
-            seen = sightings.see_listed(
+            seen = sightings.merge_listed(
                 self.known.get(vm.name),
                 vm.name,
                 vm.pool,
@@ -97,11 +98,11 @@
             )
             await self._store(seen)
         for name in self.known.keys() - names:
-            await self._store(sightings.see_unlisted(self.known[name]))
+            await self._store(sightings.mark_unlisted(self.known[name]))
         self._update_board()
 
-    async def _store(self, seen: sightings.Sighting) -> None:
-        """Store a sighting; notify all peers if the endpoint starts to leave.
+    async def _store(self, seen: sightings.ObservedEndpoint) -> None:
+        """Store an observation; notify peers if the endpoint starts to leave.
 
         Each node passes this on once, when it first learns it, so all nodes
         know within a few link delays, with or without the platform.
@@ -110,9 +111,9 @@
         self.known[seen.name] = seen
         if seen.leaving and not (before is not None and before.leaving):
             self._update_board()
-            fact = sightings.make_fact(seen, self.clock.now_ms())
-            if fact is not None:
-                row = membership.encode_fact(fact)
+            observation = sightings.make_observation(seen, self.clock.now_ms())
+            if observation is not None:
+                row = membership.encode_observation(observation)
                 await self.hub.notify_all("endpoints", [row])
 
     def _update_board(self) -> None:
@@ -120,7 +121,7 @@
         self.known = {
             name: seen
             for name, seen in self.known.items()
-            if sightings.is_kept(seen, now)
+            if sightings.is_retained(seen, now)
         }
         # Whether this node reaches an endpoint that it probes itself is not
         # decided by peers: they may be on the other side of a network
@@ -157,7 +158,7 @@
         )
         if self._probed_inputs != (seen, members):
             self._probed_inputs = (seen, members)
-            self._probed_names = membership.choose_probed(
+            self._probed_names = membership.choose_probe_targets(
                 sorted(seen),
                 members,
                 (self.board.name, self.board.failure_domain),
@@ -197,10 +198,10 @@
         if seen is None or seen.address != endpoint.address:
             return
         if report is None:
-            await self._store(sightings.see_silence(seen))
+            await self._store(sightings.record_failed_probe(seen))
             return
         await self._store(
-            sightings.see_report(
+            sightings.merge_report(
                 seen,
                 frozenset(report.versions),
                 report.load,
@@ -221,20 +222,20 @@
             peer = peers[self._round % len(peers)]
             if not self.known:
                 await self._fetch_table(peer)
-            rows = self._encode_next_facts(FACTS_PER_ROUND)
+            rows = self._encode_next_observations(OBSERVATIONS_PER_ROUND)
             if rows:
                 await self.hub.notify(peer, "endpoints", rows)
 
-    def _encode_next_facts(self, count: int) -> list[list]:
-        """Encode the next ``count`` facts, in rotation."""
+    def _encode_next_observations(self, count: int) -> list[list]:
+        """Encode the next ``count`` observations, in rotation."""
         now = self.clock.now_ms()
         names = sorted(self.known)
         rows = []
         for step in range(min(count, len(names))):
             name = names[(self._cursor + step) % len(names)]
-            fact = sightings.make_fact(self.known[name], now)
-            if fact is not None:
-                rows.append(membership.encode_fact(fact))
+            observation = sightings.make_observation(self.known[name], now)
+            if observation is not None:
+                rows.append(membership.encode_observation(observation))
         self._cursor += count
         return rows
 
@@ -247,19 +248,24 @@
         except errors.PeerUnavailable:
             return
         if isinstance(rows, list):
-            await self._handle_facts(peer, rows)
+            await self._handle_observations(peer, rows)
 
     async def _handle_table(self, peer: str, body: typing.Any) -> list:
-        return self._encode_next_facts(len(self.known))
+        return self._encode_next_observations(len(self.known))
 
-    async def _handle_facts(self, peer: str, body: typing.Any) -> None:
+    async def _handle_observations(self, peer: str, body: typing.Any) -> None:
         now = self.clock.now_ms()
         for row in body:
-            fact = membership.decode_fact(row)
-            if fact is None:
+            observation = membership.decode_observation(row)
+            if observation is None:
                 continue
-            known = self.known.get(fact.name)
-            if known is None and fact.age_ms > MAX_NEW_FACT_AGE_MS:
+            known = self.known.get(observation.name)
+            if (
+                known is None
+                and observation.age_ms > MAX_NEW_OBSERVATION_AGE_MS
+            ):
                 continue
-            await self._store(sightings.see_fact(known, fact, now))
+            await self._store(
+                sightings.merge_observation(known, observation, now)
+            )
         self._update_board()
--- a/src/carawayward/gateway/handover.py
+++ b/src/carawayward/gateway/handover.py
@@ -34,7 +34,7 @@
 def listen(
     hub: hub_module.PeerHub,
     board: blackboard_module.Blackboard,
-    book: tickets.Book,
+    book: tickets.RightsTable,
 ) -> None:
     """Register handlers that adopt the rights of leaving peers."""
 
@@ -63,13 +63,13 @@
 async def hand_over(
     hub: hub_module.PeerHub,
     board: blackboard_module.Blackboard,
-    book: tickets.Book,
+    book: tickets.RightsTable,
     self_id: NodeId,
     wall_ms: int,
 ) -> bool:
     """Choose an heir and send it all rights; return whether it took all."""
     heir = choose_heir(hub, board)
-    handed_over = tickets.name_heir(book, self_id, heir) if heir else None
+    handed_over = tickets.assign_heir(book, self_id, heir) if heir else None
     if heir is None or handed_over is None:
         return False
     try:
--- a/src/carawayward/gateway/once.py
+++ b/src/carawayward/gateway/once.py
@@ -80,7 +80,7 @@
     claims: claims_module.ClaimsController
     rules: tickets.Rules = attrs.field(factory=tickets.Rules)
     run_service: RunService | None = None
-    book: tickets.Book = attrs.field(factory=tickets.Book)
+    book: tickets.RightsTable = attrs.field(factory=tickets.RightsTable)
     _running: dict[str, ActiveRun] = attrs.field(factory=dict)
     _nursery: trio.Nursery | None = None
 
@@ -224,7 +224,7 @@
 
     async def _run_or_replay(self, once_run: OnceRun) -> outcomes.Outcome:
         wall_ms = self.lifecycle.clock.wall_ms()
-        decision = tickets.present(
+        decision = tickets.decide(
             self.book, once_run.right, once_run.expires_ms, wall_ms, self.rules
         )
         match decision:
@@ -297,7 +297,7 @@
                 detail=supervision.describe_fault(fault),
             )
         finally:
-            tickets.end_use(self.book, once_run.right, running.outcome)
+            tickets.record_outcome(self.book, once_run.right, running.outcome)
             del self._running[once_run.right]
             running.done.set()
 
@@ -371,6 +371,8 @@
         while True:
             await self.lifecycle.clock.sleep(PRUNE_INTERVAL_MS)
             wall_ms = self.lifecycle.clock.wall_ms()
-            tickets.forget_old(self.book, wall_ms, self.rules)
+            tickets.drop_expired(self.book, wall_ms, self.rules)
             max_ttl_ms = max(TICKET_TTL_MS, self.claims.rules.window_ms)
-            tickets.forget_issuers(self.book, wall_ms, max_ttl_ms, self.rules)
+            tickets.drop_expired_issuers(
+                self.book, wall_ms, max_ttl_ms, self.rules
+            )
--- a/src/carawayward/peers/dialling.py
+++ b/src/carawayward/peers/dialling.py
@@ -87,7 +87,7 @@
         seeds = set(self.hub.settings.peers)
         seeds.discard(self.hub.settings.listen.peers)
         linked = self._list_linked_addresses()
-        if len(seeds) > topology.FULL_MESH_MOST:
+        if len(seeds) > topology.MAX_FULL_MESH_SIZE:
             return bool(linked)
         return seeds <= linked | set(self.backing_off)
 
@@ -190,7 +190,7 @@
         hub = self.hub
         seeds = hub.settings.peers
         members = max(len(hub.board.entry_vms) + 1, len(seeds))
-        if members <= topology.FULL_MESH_MOST:
+        if members <= topology.MAX_FULL_MESH_SIZE:
             return list(seeds)
         own_address = hub.settings.listen.peers
         others = [seed for seed in seeds if seed != own_address]
@@ -206,7 +206,7 @@
         """Close dialled links that are neither chosen nor used."""
         chosen = self.choose()
         seeds = set(self.hub.settings.peers)
-        is_small = len(seeds) <= topology.FULL_MESH_MOST
+        is_small = len(seeds) <= topology.MAX_FULL_MESH_SIZE
         for name, link in list(self.hub.links.items()):
             announced = link.identity.address
             is_seed = (
