--- a/src/carawayward/console/overview.py
+++ b/src/carawayward/console/overview.py
@@ -60,7 +60,7 @@
 ) -> dict[str, typing.Any]:
     """Return a roll-out's stage, ratings and exposure budget."""
     counts = trial_groups.count(board.quality.trial_evidence, trial)
-    accounts = board.quality.accounts.get(trial.account, {})
+    accounts = board.quality.accounts.get(trial.budget_key, {})
     outstanding = sum(each.outstanding for each in accounts.values())
     stage = trial.progress.stage
     state = f"stage {stage + 1} of {len(trial.declared.stages)}"
--- a/src/carawayward/daemon.py
+++ b/src/carawayward/daemon.py
@@ -262,7 +262,9 @@
         # queried. The wait is bounded, since refusing requests with a
         # reason is better than never becoming ready.
         with trio.move_on_after(READY_WAIT_LIMIT_MS / 1000):
-            while not (self.board.surveyed and self.hub.has_tried_seeds()):
+            while not (
+                self.board.endpoints_probed and self.hub.has_tried_seeds()
+            ):
                 await self.clock.sleep(POLL_INTERVAL_MS)
         if self.board.state is blackboard_module.NodeState.STARTING:
             self.board.state = blackboard_module.NodeState.READY
--- a/tests/common/quality_rig.py
+++ b/tests/common/quality_rig.py
@@ -1,7 +1,8 @@
-"""Entry VMs' ratings and roll-outs in one process and in virtual time.
+"""Simulates entry VMs' ratings and roll-outs in one process.
 
-The controllers and decisions are the daemon's own; only the log, the links
-and the ratings service are fakes, so that minutes pass in milliseconds.
+The controllers and decisions are the daemon's own. Only the log, the links and
+the ratings service are fakes in virtual time, so that minutes pass in
+milliseconds.
 """
 
 import typing
@@ -21,15 +22,15 @@
 from carawayward import quality
 from tests.common import platform_fakes
 
-LINKS = 4
+LINK_STEPS = 4
 
 
 @attrs.define
 class Node:
-    """One entry VM."""
+    """One simulated entry VM."""
 
     board: blackboard.Blackboard
-    hub: platform_fakes.MemoryHub
+    hub: platform_fakes.FakeHub
     ratings: ratings_controller.RatingsController
     rollouts: rollouts.RolloutsController
     alive: bool = True
@@ -45,18 +46,22 @@
 
 @attrs.define
 class Rig:
-    """All entry VMs of a deployment, ticked a second at a time."""
+    """A simulated cluster of entry VMs, advanced a second at a time.
+
+    ``cut`` are the pairs of failure domains between which messages are lost;
+    ``nodes_without_log`` are the entry VMs that cannot reach the log.
+    """
 
     document: dict
     clock: clock_module.ManualClock
-    log: platform_fakes.MemoryLog
-    service: platform_fakes.MemoryRatings
+    log: platform_fakes.FakeLog
+    service: platform_fakes.FakeRatings
     nodes: list[Node] = attrs.field(factory=list)
     queue: list[tuple[str, str, str, typing.Any]] = attrs.field(factory=list)
     cut: set[frozenset[str]] = attrs.field(factory=set)
-    cut_from_log: set[str] = attrs.field(factory=set)
-    numbers: int = 0
-    exposed: dict[str, int] = attrs.field(factory=dict)
+    nodes_without_log: set[str] = attrs.field(factory=set)
+    request_count: int = 0
+    answers_by_version: dict[str, int] = attrs.field(factory=dict)
 
     @classmethod
     def from_config(
@@ -64,15 +69,15 @@
         document: dict,
         domains: list[str],
         count: int,
-        judge: typing.Callable[[dict], bool],
+        rate_answer: typing.Callable[[dict], bool],
     ) -> "Rig":
-        """Entry VMs spread over the domains, each linked to a few."""
+        """Spread entry VMs over the domains, and link each to a few others."""
         clock = clock_module.ManualClock()
         rig = cls(
             document=document,
             clock=clock,
-            log=platform_fakes.MemoryLog(clock),
-            service=platform_fakes.MemoryRatings(clock, judge),
+            log=platform_fakes.FakeLog(clock),
+            service=platform_fakes.FakeRatings(clock, rate_answer),
         )
         for number in range(count):
             rig.add_node(f"vm-{number}", domains[number % len(domains)], count)
@@ -80,18 +85,16 @@
         return rig
 
     def add_node(self, name: str, domain: str, count: int) -> Node:
-        """Start an entry VM; its links are those of a ring with chords."""
+        """Add an entry VM, linked to others in a ring with chords."""
         board = blackboard.Blackboard(name=name, failure_domain=domain)
         number = len(self.nodes)
         steps = {1, 2, max(1, count // 3), max(1, count // 2)}
         peers = {
             f"vm-{(number + sign * step) % count}"
-            for step in list(steps)[:LINKS]
+            for step in list(steps)[:LINK_STEPS]
             for sign in (1, -1)
         }
-        hub = platform_fakes.MemoryHub(
-            name, sorted(peers - {name}), self.queue
-        )
+        hub = platform_fakes.FakeHub(name, sorted(peers - {name}), self.queue)
         clock: typing.Any = self.clock
         links: typing.Any = hub
         reader = rollout_reader.RolloutReader(
@@ -103,13 +106,13 @@
             ratings_controller.RatingsController(board, clock, links, None),
             rollouts.RolloutsController(board, clock, links, reader),
         )
-        hub.handle("evidence", node.ratings.take_cells)
-        hub.handle("rollouts", node.rollouts.take_state)
+        hub.handle("evidence", node.ratings.merge_cells)
+        hub.handle("rollouts", node.rollouts.merge_peer_state)
         self.nodes.append(node)
         return node
 
     def publish(self, document: dict) -> None:
-        """Put a document into force everywhere."""
+        """Put a document in force on all entry VMs."""
         revision = 1 + max(
             n.board.config.revision if n.board.config else 0
             for n in self.nodes
@@ -118,7 +121,7 @@
             node.board.config = blackboard.ConfigInForce.from_config(
                 revision, document
             )
-            for pool, version_names in self.list_loaded(document):
+            for pool, version_names in self.list_endpoints(document):
                 node.board.endpoints[pool] = blackboard.Endpoint(
                     name=pool,
                     pool="matchers",
@@ -128,25 +131,25 @@
                 )
 
     @staticmethod
-    def list_loaded(document: dict) -> list[tuple[str, frozenset[str]]]:
-        """Four endpoints that have every version."""
+    def list_endpoints(document: dict) -> list[tuple[str, frozenset[str]]]:
+        """Four endpoints that have every version, as names and versions."""
         names = frozenset(
             v["name"] for m in document["models"] for v in m["versions"]
         )
         return [(f"matchers-{number}", names) for number in range(4)]
 
     async def tick(self) -> None:
-        """Let a second pass everywhere."""
+        """Advance the whole cluster by a second."""
         self.clock.advance(1_000)
         live = [node for node in self.nodes if node.alive]
         for node in live:
             for peer in live:
-                self._hear(node, peer)
+                self._update_member(node, peer)
         for node in live:
             await self._run_node(node)
         await self._deliver()
 
-    def _hear(self, node: Node, peer: Node) -> None:
+    def _update_member(self, node: Node, peer: Node) -> None:
         pair = frozenset(
             {node.board.failure_domain, peer.board.failure_domain}
         )
@@ -157,7 +160,7 @@
             incarnation=peer.board.incarnation,
             failure_domain=peer.board.failure_domain,
             address="",
-            heard_ms=self.clock.now_ms(),
+            last_heard_ms=self.clock.now_ms(),
         )
 
     async def _run_node(self, node: Node) -> None:
@@ -165,25 +168,25 @@
         try:
             await node.ratings.send_answers(service)
             await node.ratings.collect(service)
-            node.ratings.answered_ms = self.clock.now_ms()
+            node.ratings.last_answered_ms = self.clock.now_ms()
         except errors.PlatformUnavailable:
             pass
-        node.ratings.judge_service()
-        node.ratings.forget()
+        node.ratings.update_service_status()
+        node.ratings.evict_expired()
         rows = node.ratings.choose_rows()
         if rows:
             await node.hub.notify_all("evidence", rows)
         controller = node.rollouts
-        reachable = node.name not in self.cut_from_log
+        reachable = node.name not in self.nodes_without_log
         try:
             if reachable:
                 await controller.reader.read_once(0)
-                node.board.fresh_ms = self.clock.now_ms()
+                node.board.current_as_of_ms = self.clock.now_ms()
         except errors.PlatformUnavailable:
             pass
         controller.refresh()
-        halts = controller.judge_all()
-        await controller.tell_peers()
+        halts = controller.evaluate_all()
+        await controller.notify_peers()
         try:
             if reachable:
                 await controller.append_due(halts)
@@ -191,7 +194,7 @@
             pass
 
     async def _deliver(self) -> None:
-        """Hand over the tick's messages, except across cuts."""
+        """Deliver the queued messages, except between separated domains."""
         by_name = {node.name: node for node in self.nodes if node.alive}
         sent, self.queue[:] = list(self.queue), []
         for sender, receiver, kind, body in sent:
@@ -204,18 +207,21 @@
             if pair not in self.cut:
                 await target.hub.handlers[kind](sender, body)
 
-    def ask(
+    def send_request(
         self,
         node: Node,
         customer: str,
         task: str,
         pins: dict[str, str] | None = None,
     ) -> str:
-        """Answer one request at once; return the version that answered."""
+        """Answer one request at once; return the version that answered.
+
+        Returns an empty string if the request is refused.
+        """
         config = node.board.config
         assert config is not None
-        self.numbers += 1
-        key = f"r{self.numbers}"
+        self.request_count += 1
+        key = f"r{self.request_count}"
         declared = config.tasks[task]
         plan = planning.choose_plan(
             node.board,
@@ -231,13 +237,15 @@
         ):
             return ""
         version = plan.steps[0].version
-        self.exposed[version] = self.exposed.get(version, 0) + 1
+        self.answers_by_version[version] = (
+            self.answers_by_version.get(version, 0) + 1
+        )
         planning.record_answer(
             node.board,
             quality.SampledAnswer(
                 answer_id=key,
                 key=evidence.Key(customer, task, version),
-                given_ms=self.clock.wall_ms(),
+                answered_at_ms=self.clock.wall_ms(),
                 messages=[],
                 text="",
             ),
@@ -248,16 +256,16 @@
         return version
 
     def open_session(self, node: Node, customer: str) -> dict[str, str]:
-        """Open a session and return its pins."""
+        """Open a session and return its pinned versions."""
         config = node.board.config
         assert config is not None
-        self.numbers += 1
+        self.request_count += 1
         return planning.choose_pins(
-            node.board, config.customers[customer], f"s{self.numbers}"
+            node.board, config.customers[customer], f"s{self.request_count}"
         )
 
     def progress(self, name: str, node: int = 0) -> rollout.Progress:
-        """Where a roll-out stands, as one entry VM sees it."""
+        """A roll-out's progress as one entry VM sees it."""
         return self.nodes[node].rollouts.find_progress(name)
 
 
@@ -267,7 +275,7 @@
     rated_share: float = 0.2,
     **rollout_fields: typing.Any,
 ) -> dict:
-    """A document with one task, and a roll-out from scribe-7 to scribe-8."""
+    """Make a document with a roll-out from scribe-7 to scribe-8."""
     document = {
         "format": declaration.FORMAT,
         "models": [
