--- a/src/carawayward/decisions/__init__.py
+++ b/src/carawayward/decisions/__init__.py
@@ -1,7 +1,4 @@
-"""Load-dependent decisions, without sockets or clocks.
-
-The functions depend on their arguments only: times, random draws and state
-are passed in.
+"""Load-dependent decisions: pure functions without sockets or clocks.
 
 For forwarded routes: ``engine_load`` (which engine gets a prompt),
 ``escalation`` (which model answers), ``retry_budget`` (how many extra runs a
