--- a/tests/cover/test_decisions_load.py
+++ b/tests/cover/test_decisions_load.py
@@ -83,7 +83,7 @@
 
 
 def test_crashing_request_crashes_two_endpoints_and_affects_nobody_else():
-    result = run_own(killer_every_ms=500.0)
+    result = run_own(crash_interval_ms=500.0)
     assert result.kills <= 2
     assert result.in_time >= 0.99
 
